--- a/fuzz/faults.py
+++ b/fuzz/faults.py
@@ -245,10 +245,10 @@
     Fault(
         "bound_gone",
         "config/deployment.py",
-        '"channel_rate_per_s": figure(\n'
+        '"channel_rate_per_s": read_number(\n'
         '            family, "channelRate", UNLIMITED, MIN_CHANNEL_RATE_PER_S, MAX_TABLE_ENTRIES\n'
         "        )",
-        '"channel_rate_per_s": take(family, "channelRate", (int, float), 1e9)',
+        '"channel_rate_per_s": read_field(family, "channelRate", (int, float), 1e9)',
         "settings",
     ),
 )
--- a/fuzz/targets/core.py
+++ b/fuzz/targets/core.py
@@ -296,7 +296,7 @@
                 proxy
                 for push in self.registry.controller.observed.channel.pushes
                 if push.nonce == b
-                for proxy in push.awaiting
+                for proxy in push.awaiting_proxies
             }
             if proxy not in held:
                 self.inbox.append(
--- a/havendyke/bench_adapter/batches.py
+++ b/havendyke/bench_adapter/batches.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from ..config import read_settings
-from ..fields import FieldError, ms, take
+from ..fields import FieldError, read_field, read_ms
 from ..registry import ObjectRegistry
 from .messages import Message, failure_message, order_message, read_event
 
@@ -26,7 +26,7 @@
     def __init__(self, number: int, message: Message) -> None:
         self.number = number
         self._registry = ObjectRegistry(
-            read_settings(take(message, "settings", dict)), take(message, "salt", int)
+            read_settings(read_field(message, "settings", dict)), read_field(message, "salt", int)
         )
 
     def receive(self, kind: str, message: Message) -> None:
@@ -58,10 +58,10 @@
         malformed.
         """
         batch = read_batch(line)
-        now_ms, serial = ms(batch, "ts"), take(batch, "serial", int)
+        now_ms, serial = read_ms(batch, "ts"), read_field(batch, "serial", int)
         outbox: list[Message] = []
         touched: dict[int, Instance] = {}
-        for message in take(batch, "inbox", list):
+        for message in read_field(batch, "inbox", list):
             self._receive(message, touched, outbox)
         for instance in touched.values():
             outbox += instance.reconcile(now_ms)
@@ -71,7 +71,7 @@
         self, message: Message, touched: dict[int, Instance], outbox: list[Message]
     ) -> None:
         """Starts, ends or notifies an instance and notes in `touched` which ones must reconcile."""
-        kind, number = take(message, "kind", str), take(message, "assignerId", int)
+        kind, number = read_field(message, "kind", str), read_field(message, "assignerId", int)
         if kind == START_KIND:
             self._start(number, message, touched, outbox)
         elif kind == END_KIND:
--- a/havendyke/bench_adapter/messages.py
+++ b/havendyke/bench_adapter/messages.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from .. import interface as core
-from ..fields import NUMBER, FieldError, ms, take, word
+from ..fields import NUMBER_TYPES, FieldError, read_choice, read_field, read_ms
 from ..registry import ObjectRegistry
 from ..state import Proxy, Server, Slice
 
@@ -83,22 +83,22 @@
 
 
 def _server(registry: ObjectRegistry, message: Message) -> Server:
-    return registry.server(take(message, "task", str))
+    return registry.server(read_field(message, "task", str))
 
 
 def _slice(registry: ObjectRegistry, message: Message) -> Slice:
-    return registry.slice(take(message, "routeTable", int))
+    return registry.slice(read_field(message, "routeTable", int))
 
 
 def _proxy(registry: ObjectRegistry, message: Message) -> Proxy:
-    return registry.proxy(take(message, "agent", int))
+    return registry.proxy(read_field(message, "agent", int))
 
 
 def _server_load(message: Message) -> core.ServerLoad:
-    figures = take(message, "feedback", dict, {})
+    figures = read_field(message, "feedback", dict, {})
     return core.ServerLoad(
         **{
-            LOAD_FIELDS[name]: take(figures, name, NUMBER)
+            LOAD_FIELDS[name]: read_field(figures, name, NUMBER_TYPES)
             for name in figures
             if name in LOAD_FIELDS
         }
@@ -108,11 +108,11 @@
 def _server_load_report(registry: ObjectRegistry, message: Message) -> core.ServerLoadReport:
     return core.ServerLoadReport(
         _server(registry, message),
-        zone=take(message, "az", int),
-        attempts=take(message, "count", int),
-        failures=take(message, "bad", int),
-        latency_ms=ms(message, "latency"),
-        window_ms=ms(message, "window"),
+        zone=read_field(message, "az", int),
+        attempts=read_field(message, "count", int),
+        failures=read_field(message, "bad", int),
+        latency_ms=read_ms(message, "latency"),
+        window_ms=read_ms(message, "window"),
         load=_server_load(message),
     )
 
@@ -120,18 +120,18 @@
 def _slice_load_report(registry: ObjectRegistry, message: Message) -> core.SliceLoadReport:
     return core.SliceLoadReport(
         _slice(registry, message),
-        request_class=take(message, "service", int),
-        requests=take(message, "count", int),
-        failures=take(message, "bad", int),
-        window_ms=ms(message, "window"),
+        request_class=read_field(message, "service", int),
+        requests=read_field(message, "count", int),
+        failures=read_field(message, "bad", int),
+        window_ms=read_ms(message, "window"),
     )
 
 
 def _health_check_result(registry: ObjectRegistry, message: Message) -> core.HealthCheckResult:
     return core.HealthCheckResult(
         _server(registry, message),
-        outcome=word(message, "stateCode", HEALTH_CHECK_OUTCOMES),
-        latency_ms=ms(message, "latency"),
+        outcome=read_choice(message, "stateCode", HEALTH_CHECK_OUTCOMES),
+        latency_ms=read_ms(message, "latency"),
         load=_server_load(message),
     )
 
@@ -139,17 +139,17 @@
 def _push_acknowledged(registry: ObjectRegistry, message: Message) -> core.PushAcknowledged:
     return core.PushAcknowledged(
         _proxy(registry, message),
-        nonce=take(message, "rev", int),
-        latency_ms=ms(message, "latency"),
+        nonce=read_field(message, "rev", int),
+        latency_ms=read_ms(message, "latency"),
     )
 
 
 def _proxy_connected(registry: ObjectRegistry, message: Message) -> core.ProxyConnected:
     return core.ProxyConnected(
         _proxy(registry, message),
-        zone=take(message, "az", int),
-        request_rate=take(message, "part", NUMBER),
-        first_connection=take(message, "active", bool, False),
+        zone=read_field(message, "az", int),
+        request_rate=read_field(message, "part", NUMBER_TYPES),
+        first_connection=read_field(message, "active", bool, False),
     )
 
 
@@ -158,37 +158,39 @@
 
 
 def _slice_assignment(registry: ObjectRegistry, message: Message) -> core.SliceAssignment:
-    return core.SliceAssignment(_slice(registry, message), take(message, "active", bool))
+    return core.SliceAssignment(_slice(registry, message), read_field(message, "active", bool))
 
 
 def _snapshot_entry(registry: ObjectRegistry, message: Message) -> core.SnapshotEntry:
     return core.SnapshotEntry(
-        _slice(registry, message), _server(registry, message), take(message, "part", NUMBER)
+        _slice(registry, message),
+        _server(registry, message),
+        read_field(message, "part", NUMBER_TYPES),
     )
 
 
 def _endpoint_list_update(registry: ObjectRegistry, message: Message) -> core.EndpointListUpdate:
     return core.EndpointListUpdate(
-        word(message, "scope", LIST_SCOPES),
-        [_endpoint_entry(registry, item) for item in take(message, "items", list, [])],
+        read_choice(message, "scope", LIST_SCOPES),
+        [_endpoint_entry(registry, item) for item in read_field(message, "items", list, [])],
     )
 
 
 def _endpoint_entry(registry: ObjectRegistry, item: Message) -> core.EndpointEntry:
-    started_ns = take(item, "readyAt", NUMBER, 0)
+    started_ns = read_field(item, "readyAt", NUMBER_TYPES, 0)
     return core.EndpointEntry(
         _server(registry, item),
-        state=word(item, "health", SERVER_STATES),
+        state=read_choice(item, "health", SERVER_STATES),
         started_ms=started_ns / NANOSECONDS_PER_MS if started_ns else None,
-        zone=take(item, "az", int, 0),
-        cell=take(item, "stripe", int, 0),
-        machine_kind=take(item, "machine", int, 0),
-        size=take(item, "part", NUMBER, 1.0),
+        zone=read_field(item, "az", int, 0),
+        cell=read_field(item, "stripe", int, 0),
+        machine_kind=read_field(item, "machine", int, 0),
+        size=read_field(item, "part", NUMBER_TYPES, 1.0),
     )
 
 
 def _timer_fired(_: ObjectRegistry, message: Message) -> core.TimerFired:
-    return core.TimerFired(take(message, "ctx", int))
+    return core.TimerFired(read_field(message, "ctx", int))
 
 
 EVENT_READERS: dict[str, Callable[[ObjectRegistry, Message], core.Event]] = {
--- a/havendyke/cli/events.py
+++ b/havendyke/cli/events.py
@@ -5,7 +5,7 @@
 
 import click
 
-from ..events import EVENTS, page
+from ..events import EVENTS, render_page
 from ..settings.values import suggestion
 from .main import CommandError, json_option, print_result
 
@@ -22,7 +22,7 @@
 def command(name: str | None, as_page: bool, as_json: bool) -> None:
     """Every event of the log, or one, with its fields and meaning."""
     if as_page:
-        click.echo(page(), nl=False)
+        click.echo(render_page(), nl=False)
         return
     if name is not None and name not in EVENTS:
         raise CommandError(f"no event is named '{name}'{suggestion(name, EVENTS)}")
--- a/havendyke/config/deployment.py
+++ b/havendyke/config/deployment.py
@@ -9,7 +9,15 @@
 from typing import Any
 
 from .. import interface as core
-from ..fields import FieldError, count, figure, listed, ms, take, word
+from ..fields import (
+    FieldError,
+    read_choice,
+    read_field,
+    read_integer,
+    read_list,
+    read_ms,
+    read_number,
+)
 from ..interface.settings import UNLIMITED
 
 IDEMPOTENCY = {
@@ -55,16 +63,16 @@
 
 def read_settings(raw: Mapping[str, Any]) -> core.Settings:
     """The settings of the configuration's section, with defaults."""
-    family = take(raw, "familyInfo", dict, {})
-    duty = take(raw, "obligations", dict, {})
-    limits = take(raw, "limits", dict, {})
+    family = read_field(raw, "familyInfo", dict, {})
+    duty = read_field(raw, "obligations", dict, {})
+    limits = read_field(raw, "limits", dict, {})
     # The order of reading is the order in which errors are reported.
     return core.Settings(
         request_classes=_request_classes(raw, family),
-        zone_count=len(listed(raw, "localities", str, [""])),
+        zone_count=len(read_list(raw, "localities", str, [""])),
         **_slices(family),
         **_push_channel(family),
-        report_interval_ms=ms(
+        report_interval_ms=read_ms(
             family,
             "interval",
             DEFAULT_REPORT_INTERVAL_MS,
@@ -72,13 +80,13 @@
             MAX_DURATION_MS,
         ),
         **_warm_up(duty),
-        list_on_request=word(raw, "registryMode", LIST_ON_REQUEST, "push"),
+        list_on_request=read_choice(raw, "registryMode", LIST_ON_REQUEST, "push"),
         list_request_timeout_ms=_duration_ms(duty, "askWithin"),
-        health_checks=take(limits, "probes", bool, False),
-        load_shedding=word(family, "throttleBy", LOAD_SHEDDING, "none"),
-        sizes_stated=word(raw, "weightKind", SIZES_STATED, "none"),
+        health_checks=read_field(limits, "probes", bool, False),
+        load_shedding=read_choice(family, "throttleBy", LOAD_SHEDDING, "none"),
+        sizes_stated=read_choice(raw, "weightKind", SIZES_STATED, "none"),
         **_controllers(raw),
-        connection_capacity=figure(family, "smallestConnTable", 0.0, 0.0, MAX_TABLE_ENTRIES),
+        connection_capacity=read_number(family, "smallestConnTable", 0.0, 0.0, MAX_TABLE_ENTRIES),
         connection_idle_ms=_duration_ms(limits, "connIdle"),
     )
 
@@ -86,13 +94,15 @@
 def read_wire_names(raw: object) -> WireNames:
     """The names that messages use, in the order of the settings."""
     names = WireNames(
-        zones=tuple(listed(raw, "localities", str, [])),
-        machine_kinds=tuple(listed(raw, "kinds", str, [])),
+        zones=tuple(read_list(raw, "localities", str, [])),
+        machine_kinds=tuple(read_list(raw, "kinds", str, [])),
         request_classes=tuple(
-            take(one, "name", str, "") for one in take(raw, "requestClasses", list)
+            read_field(one, "name", str, "") for one in read_field(raw, "requestClasses", list)
+        ),
+        reports=read_field(read_field(raw, "telemetry", dict, {}), "source", str, "none") != "none",
+        proxy_count=read_integer(
+            read_field(raw, "familyInfo", dict, {}), "dataPlaneSize", 0, 0, MAX_PROXIES
         ),
-        reports=take(take(raw, "telemetry", dict, {}), "source", str, "none") != "none",
-        proxy_count=count(take(raw, "familyInfo", dict, {}), "dataPlaneSize", 0, 0, MAX_PROXIES),
     )
     _require_distinct(names.zones, "localities")
     _require_distinct(names.request_classes, "requestClasses")
@@ -101,8 +111,8 @@
 
 
 def _request_classes(raw: object, family: object) -> list[core.RequestClass]:
-    own_zone = listed(family, "classOwnZone", bool, [])
-    sections = listed(raw, "requestClasses", dict)
+    own_zone = read_list(family, "classOwnZone", bool, [])
+    sections = read_list(raw, "requestClasses", dict)
     if len(sections) > MAX_REQUEST_CLASSES:
         raise FieldError(
             f"field 'requestClasses' may name {MAX_REQUEST_CLASSES} classes, not {len(sections)}"
@@ -115,20 +125,22 @@
 
 def _request_class(section: object, own_zone_only: bool) -> core.RequestClass:
     return core.RequestClass(
-        latency_objective_ms=ms(section, "promise", least=MIN_LATENCY_MS, most=MAX_DURATION_MS),
-        deadline_ms=ms(section, "hardLimit", least=MIN_LATENCY_MS, most=MAX_DURATION_MS),
+        latency_objective_ms=read_ms(
+            section, "promise", least=MIN_LATENCY_MS, most=MAX_DURATION_MS
+        ),
+        deadline_ms=read_ms(section, "hardLimit", least=MIN_LATENCY_MS, most=MAX_DURATION_MS),
         # An unknown word is refused, since a default would be wrong one way or the other.
-        idempotency=word(section, "repeat", IDEMPOTENCY, "side_effect"),
-        deduplication_scope=word(section, "group", DEDUPLICATION_SCOPES, "all"),
-        deduplication_window_ms=ms(section, "window", 0.0, 0.0, MAX_DEDUPLICATION_WINDOW_MS),
+        idempotency=read_choice(section, "repeat", IDEMPOTENCY, "side_effect"),
+        deduplication_scope=read_choice(section, "group", DEDUPLICATION_SCOPES, "all"),
+        deduplication_window_ms=read_ms(section, "window", 0.0, 0.0, MAX_DEDUPLICATION_WINDOW_MS),
         own_zone_only=own_zone_only,
     )
 
 
 def _slices(family: object) -> dict[str, Any]:
     return {
-        "slice_count": count(family, "keyRanges", 0, 0, MAX_SLICES),
-        "exclusive_ownership": take(family, "oneOwner", bool, False),
+        "slice_count": read_integer(family, "keyRanges", 0, 0, MAX_SLICES),
+        "exclusive_ownership": read_field(family, "oneOwner", bool, False),
         "lease_ms": _duration_ms(family, "lease"),
         "max_write_in_flight_ms": _duration_ms(family, "lingers"),
         "max_empty_table_ms": _duration_ms(family, "emptyFor"),
@@ -137,13 +149,13 @@
 
 def _push_channel(family: object) -> dict[str, Any]:
     return {
-        "channel_queue_limit": figure(family, "pendingMax", UNLIMITED, 1.0, MAX_TABLE_ENTRIES),
-        "channel_rate_per_s": figure(
+        "channel_queue_limit": read_number(family, "pendingMax", UNLIMITED, 1.0, MAX_TABLE_ENTRIES),
+        "channel_rate_per_s": read_number(
             family, "channelRate", UNLIMITED, MIN_CHANNEL_RATE_PER_S, MAX_TABLE_ENTRIES
         ),
-        "message_overhead": figure(family, "overhead", 0.0, 0.0, MAX_MESSAGE_OVERHEAD),
+        "message_overhead": read_number(family, "overhead", 0.0, 0.0, MAX_MESSAGE_OVERHEAD),
         "push_delay_ms": _duration_ms(family, "pushDelay"),
-        "message_limit": count(family, "updateCap", 0, 0, MAX_MESSAGES),
+        "message_limit": read_integer(family, "updateCap", 0, 0, MAX_MESSAGES),
         "message_limit_window_ms": _duration_ms(family, "countedOver"),
     }
 
@@ -151,8 +163,8 @@
 def _warm_up(duty: object) -> dict[str, Any]:
     return {
         "warm_up_ms": _duration_ms(duty, "cold"),
-        "initial_capacity_share": figure(duty, "coldFrom", 1.0, 0.0, 1.0),
-        "warm_up_overload_factor": figure(
+        "initial_capacity_share": read_number(duty, "coldFrom", 1.0, 0.0, 1.0),
+        "warm_up_overload_factor": read_number(
             duty, "overloadFactor", UNLIMITED, 1.0, MAX_OVERLOAD_FACTOR
         ),
     }
@@ -160,14 +172,14 @@
 
 def _controllers(raw: Mapping[str, Any]) -> dict[str, Any]:
     index = None
-    controller_count = count(raw, "balancers", 1, 1, MAX_CONTROLLERS)
+    controller_count = read_integer(raw, "balancers", 1, 1, MAX_CONTROLLERS)
     if raw.get("me") is not None:
-        index = count(raw, "me", 0, 0, MAX_CONTROLLERS)
+        index = read_integer(raw, "me", 0, 0, MAX_CONTROLLERS)
     return {"controller_count": controller_count, "controller_index": index}
 
 
 def _duration_ms(section: object, key: str) -> float:
-    return ms(section, key, 0.0, 0.0, MAX_DURATION_MS)
+    return read_ms(section, key, 0.0, 0.0, MAX_DURATION_MS)
 
 
 def _require_distinct(names: Sequence[str], key: str) -> None:
--- a/havendyke/config/limits.py
+++ b/havendyke/config/limits.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..fields import count, figure, ms, take
+from ..fields import read_field, read_integer, read_ms, read_number
 
 MIN_MEMORY_MB = 8.0
 MAX_MEMORY_MB = 1e7
@@ -157,8 +157,8 @@
 
 def read_limits(raw: object, settings: Mapping[str, Any]) -> Limits:
     """The limits of the configuration's own section and of its settings."""
-    sockets = count(raw, "sockets", Limits.sockets, Limits.sockets_least, MAX_SOCKETS)
-    memory_mb = float(figure(raw, "memory_mb", Limits.memory_mb, MIN_MEMORY_MB, MAX_MEMORY_MB))
+    sockets = read_integer(raw, "sockets", Limits.sockets, Limits.sockets_least, MAX_SOCKETS)
+    memory_mb = float(read_number(raw, "memory_mb", Limits.memory_mb, MIN_MEMORY_MB, MAX_MEMORY_MB))
     reserve = min(Limits.socket_reserve, sockets // MAX_RESERVED_SOCKETS_DIVISOR)
     slots = min(Limits.slots, sockets - reserve)
     return Limits(
@@ -169,8 +169,8 @@
         callers=min(Limits.callers, slots // 2),
         accepts=min(Limits.accepts, slots // 8),
         probes_open=min(Limits.probes_open, slots // 4),
-        probe_connect=ms(
-            take(settings, "limits", dict, {}),
+        probe_connect=read_ms(
+            read_field(settings, "limits", dict, {}),
             "connectTimeout",
             Limits.probe_connect,
             MIN_CONNECT_TIMEOUT_MS,
--- a/havendyke/config/loading.py
+++ b/havendyke/config/loading.py
@@ -8,7 +8,7 @@
 import orjson
 
 from .. import interface as core
-from ..fields import FieldError, clip, take
+from ..fields import FieldError, excerpt, read_field
 from .deployment import WireNames, read_settings, read_wire_names
 from .limits import Limits, read_limits
 
@@ -73,25 +73,25 @@
 def read_config(raw: object, environ: Environment) -> Config:
     """The configuration of a parsed file; raises `ConfigError` or `FieldError`."""
     if not isinstance(raw, dict):
-        raise ConfigError(f"the configuration must be an object, not {clip(raw)}")
+        raise ConfigError(f"the configuration must be an object, not {excerpt(raw)}")
     _compare_with_variables(raw, environ)
     seed = _read_seed(raw)
-    raw_settings = take(raw, "settings", dict)
+    raw_settings = read_field(raw, "settings", dict)
     settings = read_settings(raw_settings)
     if not settings.request_classes:
         raise ConfigError("'settings.requestClasses' must name one class at least")
     return Config(
-        name=take(raw, "name", str),
-        listen=parse_address(take(raw, "listen", str), "listen"),
-        discovery=parse_address(take(raw, "discovery", str), "discovery"),
+        name=read_field(raw, "name", str),
+        listen=parse_address(read_field(raw, "listen", str), "listen"),
+        discovery=parse_address(read_field(raw, "discovery", str), "discovery"),
         relay=parse_address(
-            take(take(raw, "distributor", dict), "address", str), "distributor.address"
+            read_field(read_field(raw, "distributor", dict), "address", str), "distributor.address"
         ),
         seed=seed,
-        known=take(raw, "known", dict, {}),
+        known=read_field(raw, "known", dict, {}),
         settings=settings,
         wire_names=read_wire_names(raw_settings),
-        limits=read_limits(take(raw, "limits", dict, {}), raw_settings),
+        limits=read_limits(read_field(raw, "limits", dict, {}), raw_settings),
     )
 
 
@@ -107,7 +107,7 @@
     for key in REPEATED_KEYS:
         variable = f"{VARIABLE_PREFIX}{key.upper()}"
         stated = environ.get(variable)
-        if stated is not None and stated != take(raw, key, str):
+        if stated is not None and stated != read_field(raw, key, str):
             raise ConfigError(
                 f"'{key}' is {raw[key][:MAX_VALUE_LENGTH]!r}, "
                 f"but {variable} is {stated[:MAX_VALUE_LENGTH]!r}"
@@ -115,7 +115,7 @@
 
 
 def _read_seed(raw: Mapping[str, Any]) -> int:
-    seed = take(raw, "seed", str)
+    seed = read_field(raw, "seed", str)
     if not re.fullmatch("[0-9a-fA-F]{1,32}", seed):
         raise ConfigError(f"'seed' must be hexadecimal, not {seed[:MAX_VALUE_LENGTH]!r}")
     return int(seed, 16)
--- a/havendyke/events.py
+++ b/havendyke/events.py
@@ -162,7 +162,7 @@
 )
 
 
-def page() -> str:
+def render_page() -> str:
     """The operators' page of all events."""
     lines = [
         "# Events of the log",
--- a/havendyke/lab/peers.py
+++ b/havendyke/lab/peers.py
@@ -428,7 +428,7 @@
         late = [
             p.id
             for p in c.proxies
-            if p.connected and p.acknowledged != c.observed.channel.last_serial
+            if p.connected and p.acknowledged_serial != c.observed.channel.last_serial
         ]
         if late:
             wrong.append(f"marks unanswered by {late}")
--- a/havendyke/net/fleet_summary.py
+++ b/havendyke/net/fleet_summary.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from ..policy import Controller
-from ..state import UNAVAILABLE, UNHEALTHY, WARMING_UP, HealthState, Server, Slice, middle_of
+from ..state import UNAVAILABLE, UNHEALTHY, WARMING_UP, HealthState, Server, Slice, upper_median
 from .event_loop import EventLoop
 
 # Conditions of the fleet, by their names in the controller and in the log.
@@ -114,7 +114,7 @@
 def _median_success_age_ms(servers: Iterable[Server], now_ms: float) -> int:
     """The median time since the servers' last success."""
     ages_ms = [now_ms - server.last_success_ms for server in servers]
-    median_ms: float = middle_of(ages_ms, 0.0)
+    median_ms: float = upper_median(ages_ms, 0.0)
     return round(min(median_ms, MAX_LOGGED_AGE_MS))
 
 
--- a/havendyke/net/wire_endpoint_list.py
+++ b/havendyke/net/wire_endpoint_list.py
@@ -5,7 +5,7 @@
 
 from .. import interface as core
 from ..config import Config
-from ..fields import NUMBER, FieldError, clip, take, word
+from ..fields import NUMBER_TYPES, FieldError, excerpt, read_choice, read_field
 from ..registry import ObjectRegistry
 from ..state import Server
 
@@ -96,10 +96,10 @@
         for each entry that cannot be read; the others count, and the list is taken for changes, so
         that no server is taken for gone by it. Without it the first such entry is raised.
         """
-        version: int = take(message, "rev", int)
-        complete: bool = take(message, "all", bool)
+        version: int = read_field(message, "rev", int)
+        complete: bool = read_field(message, "all", bool)
         parsed = []
-        for fields in take(message, "targets", list):
+        for fields in read_field(message, "targets", list):
             try:
                 parsed.append(self._parse_entry(fields))
             except FieldError as error:
@@ -142,22 +142,22 @@
         return known.clock_ms
 
     def _parse_entry(self, fields: dict[str, Any]) -> _ParsedEntry:
-        server_id: str = take(fields, "uid", str)
-        endpoint: str = take(fields, "endpoint", str, "")
-        started_unix_ms = take(fields, "boot_ms", NUMBER, 0)
-        size = take(fields, "capacity_hint", NUMBER, 1.0)
+        server_id: str = read_field(fields, "uid", str)
+        endpoint: str = read_field(fields, "endpoint", str, "")
+        started_unix_ms = read_field(fields, "boot_ms", NUMBER_TYPES, 0)
+        size = read_field(fields, "capacity_hint", NUMBER_TYPES, 1.0)
         if started_unix_ms < 0 or not 0 <= size <= self._max_size:
             raise FieldError(
-                f"field 'boot_ms' or 'capacity_hint' is out of range in {clip(fields)}"
+                f"field 'boot_ms' or 'capacity_hint' is out of range in {excerpt(fields)}"
             )
         return _ParsedEntry(
             server_id=server_id,
             endpoint=endpoint,
-            state=word(fields, "state", SERVER_STATES),
+            state=read_choice(fields, "state", SERVER_STATES),
             started_unix_ms=started_unix_ms,
-            zone_name=take(fields, "az", str),
-            cell=take(fields, "pod_group", int, 0),
-            machine_kind_name=take(fields, "model", str, ""),
+            zone_name=read_field(fields, "az", str),
+            cell=read_field(fields, "pod_group", int, 0),
+            machine_kind_name=read_field(fields, "model", str, ""),
             size=size,
         )
 
--- a/havendyke/net/wire_fields.py
+++ b/havendyke/net/wire_fields.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from ..fields import FieldError, clip, take
+from ..fields import FieldError, excerpt, read_field
 
 MAX_DIGITS = 15  # of a count; Python reads longer ones in quadratic time
 
@@ -26,18 +26,18 @@
             raise ValueError
         number = float(text)
     except ValueError:
-        raise FieldError(f"field '{name}' is no number: {clip(text)}") from None
+        raise FieldError(f"field '{name}' is no number: {excerpt(text)}") from None
     if not 0.0 <= number <= maximum:
-        raise FieldError(f"field '{name}' is out of range: {clip(text)}")
+        raise FieldError(f"field '{name}' is out of range: {excerpt(text)}")
     return number
 
 
 def parse_count(fields: TextFields, name: str, maximum: int) -> int:
     """A field's whole number from 0 to `maximum`; raises `FieldError` for anything else."""
-    text: str = take(fields, name, str)
+    text: str = read_field(fields, name, str)
     decimal = text.isdecimal() and text.isascii()
     if not decimal or len(text) > MAX_DIGITS or int(text) > maximum:
-        raise FieldError(f"field '{name}' is no whole number up to {maximum}: {clip(text)}")
+        raise FieldError(f"field '{name}' is no whole number up to {maximum}: {excerpt(text)}")
     return int(text)
 
 
--- a/havendyke/net/wire_relay.py
+++ b/havendyke/net/wire_relay.py
@@ -8,7 +8,7 @@
 
 from .. import interface as core
 from ..config import Config
-from ..fields import NUMBER, FieldError, figure, flag, take
+from ..fields import NUMBER_TYPES, FieldError, read_field, read_flag, read_number
 from .relay_orders import (
     AcknowledgementOrder,
     AdmissionOrder,
@@ -150,11 +150,11 @@
     if failed and message.get("result") is not None:
         raise FieldError("an answer has an error and a result")
     if not failed:
-        taken: int = take(take(message, "result", dict), "taken", int)
+        taken: int = read_field(read_field(message, "result", dict), "taken", int)
         if not 0 <= taken <= order_count:
             raise FieldError(f"field 'taken' is {taken} of {order_count}")
         return CallApplied(taken)
-    text: str = take(take(message, "error", dict), "message", str)
+    text: str = read_field(read_field(message, "error", dict), "message", str)
     if BUSY not in text and UNREADABLE not in text:
         raise FieldError(f"field 'message' is unknown: {text[:MAX_QUOTED_WORD_CHARS]}")
     return CallRejected(text, UNREADABLE in text)
@@ -188,24 +188,24 @@
 
     def notification(self, kind: NotificationType, message: dict[str, Any]) -> Notification:
         """A notification of any type but a ping."""
-        params: dict[str, Any] = take(message, "params", dict)
+        params: dict[str, Any] = read_field(message, "params", dict)
         about_slice = kind in ABOUT_SLICES
-        subject_id: int = take(params, "partition" if about_slice else "sidecar", int)
+        subject_id: int = read_field(params, "partition" if about_slice else "sidecar", int)
         limit = self._slice_limit if about_slice else self._proxy_limit
         return Notification(subject_id if 0 <= subject_id < limit else None, params)
 
     def subscription(self, params: dict[str, Any]) -> Subscription:
         """What a proxy states when it connects; an unknown zone counts as the first."""
-        zone_name: str = take(params, "az", str)
+        zone_name: str = read_field(params, "az", str)
         request_rate = self._weight(params, DEFAULT_REQUEST_RATE)
         return Subscription(
-            self._zones.get(zone_name, 0), request_rate, flag(params, "standing", False)
+            self._zones.get(zone_name, 0), request_rate, read_flag(params, "standing", False)
         )
 
     def acknowledgement(self, params: dict[str, Any]) -> Acknowledgement:
         """A proxy's answer to a push."""
-        nonce: int = take(params, "version", int)
-        latency_ms: float = take(params, "lag_ms", NUMBER, 0.0)
+        nonce: int = read_field(params, "version", int)
+        latency_ms: float = read_field(params, "lag_ms", NUMBER_TYPES, 0.0)
         if not 0 <= nonce < NONCE_LIMIT or not 0 <= latency_ms < self._limits.report_most:
             quoted = str(params)[:MAX_QUOTED_MESSAGE_CHARS]
             raise FieldError(f"field 'version' or 'lag_ms' is out of range: {quoted}")
@@ -214,15 +214,15 @@
     @staticmethod
     def assigned(params: dict[str, Any]) -> bool:
         """Whether a slice is assigned, or was and is no longer."""
-        return flag(params, "yes")
+        return read_flag(params, "yes")
 
     def table_entry(self, params: dict[str, Any]) -> TableEntry:
         """An entry of a slice's table."""
-        server_id: str = take(params, "host", str)
+        server_id: str = read_field(params, "host", str)
         return TableEntry(server_id, self._weight(params))
 
     def _weight(self, params: dict[str, Any], default: Any = ...) -> float:
-        weight: float = figure(params, "share", default, 0.0, self._limits.report_most)
+        weight: float = read_number(params, "share", default, 0.0, self._limits.report_most)
         return weight
 
     def relay_order(self, order: core.Order) -> RelayOrder | None:
--- a/havendyke/net/wire_reports.py
+++ b/havendyke/net/wire_reports.py
@@ -4,7 +4,7 @@
 
 from .. import interface as core
 from ..config import Config
-from ..fields import FieldError, take, word
+from ..fields import FieldError, read_choice, read_field
 from ..registry import ObjectRegistry
 from .wire_fields import (
     Part,
@@ -60,7 +60,7 @@
     def zone_name(self, parts: Sequence[Part | None]) -> str:
         """The zone that a joining collector names."""
         fields = parse_fields(parts)
-        word(fields, "az", self._zones)
+        read_choice(fields, "az", self._zones)
         return fields["az"]
 
     def report(
@@ -83,11 +83,11 @@
         attempts = parse_count(fields, "n", self._limits.report_count)
         failures = parse_count(fields, "bad", attempts)
         window_ms = self._window_ms(fields)
-        zone: int = word(fields, "az", self._zones)
-        server = self._registry.servers.get(take(fields, "host", str))
+        zone: int = read_choice(fields, "az", self._zones)
+        server = self._registry.servers.get(read_field(fields, "host", str))
         # Only where all attempts failed is there no mean latency of the others.
         default = "0" if attempts == failures else ...
-        latency_ms = parse_number(take(fields, "avg", str, default), "avg", maximum)
+        latency_ms = parse_number(read_field(fields, "avg", str, default), "avg", maximum)
         load = parse_server_load(fields.get("report", ""), maximum)
         if server is None:
             return None
@@ -98,11 +98,11 @@
         # Failures may be of requests that came in an earlier window, so they may be more.
         failures = parse_count(fields, "bad", self._limits.report_count)
         window_ms = self._window_ms(fields)
-        request_class: int = word(fields, "kind", self._request_classes)
+        request_class: int = read_choice(fields, "kind", self._request_classes)
         slice_ = self._registry.slices.get(parse_count(fields, "partition", self._max_slice_id))
         if slice_ is None:
             return None
         return core.SliceLoadReport(slice_, request_class, requests, failures, window_ms)
 
     def _window_ms(self, fields: TextFields) -> float:
-        return parse_number(take(fields, "window", str), "window", self._limits.report_most)
+        return parse_number(read_field(fields, "window", str), "window", self._limits.report_most)
--- a/havendyke/policy/controller.py
+++ b/havendyke/policy/controller.py
@@ -148,7 +148,7 @@
     }
 
     def _update(self) -> list[Order]:
-        self.observed.revoke_confirmed_ejections()
+        self.observed.mark_ejections_unconfirmed()
         self.assess_health()
         self.adjust_admission()
         self.plan_tables()
@@ -176,7 +176,7 @@
     def adjust_admission(self) -> None:
         """Sheds load, or admits more again."""
         observed = self.observed
-        succeeded, failed = observed.attempts.bins
+        succeeded, failed = observed.attempt_outcomes.bins
         counts = RequestCounts(observed.offered_requests, succeeded, failed)
         if self.admission.adjust(observed.now_ms, self.condition, counts):
             observed.reset_request_counts()
--- a/havendyke/policy/ejection.py
+++ b/havendyke/policy/ejection.py
@@ -77,8 +77,8 @@
         """Whether the drain's grace would end before an ejection after a cover arrives."""
         return (
             server.health == UNAVAILABLE
-            and server.left_ms is not None
-            and now_ms - server.left_ms >= self._cover_wait_ms
+            and server.not_ready_since_ms is not None
+            and now_ms - server.not_ready_since_ms >= self._cover_wait_ms
         )
 
 
--- a/havendyke/policy/failover.py
+++ b/havendyke/policy/failover.py
@@ -65,7 +65,8 @@
     def _is_taking_over(self, server: Server, now_ms: float) -> bool:
         # What waited for slices comes all at once when they are handed over.
         return (
-            server.health == WARMING_UP and now_ms - server.received_slice_ms < self._hand_over_ms
+            server.health == WARMING_UP
+            and now_ms - server.last_slice_received_ms < self._hand_over_ms
         )
 
     def _choose_target(self, slice_: Slice, pool: Sequence[Server]) -> Server | None:
--- a/havendyke/policy/fleet_condition.py
+++ b/havendyke/policy/fleet_condition.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from ..interface import Settings
-from ..state import Server, middle_of
+from ..state import Server, upper_median
 from ..state.histogram import latency_position
 
 # Shares of failed attempts. A fleet that is overloaded, or has elevated errors, stays so until the
@@ -59,13 +59,13 @@
     def assess(self, ready_servers: Sequence[Server]) -> None:
         """Updates the condition; being overloaded and elevated errors have hysteresis."""
         condition = self.condition
-        condition.usual_in_flight = middle_of(
+        condition.usual_in_flight = upper_median(
             [server.in_flight.median() or 0.0 for server in ready_servers], 0.0
         )
-        outcomes = [server.outcomes.bins for server in ready_servers]
+        outcomes = [server.attempt_outcomes.bins for server in ready_servers]
         # Where the middle server fails too, all are full or cut off: taking traffic off one server
         # overloads the next.
-        middle_error_rate = middle_of(
+        middle_error_rate = upper_median(
             [failed / max(1.0, succeeded + failed) for succeeded, failed in outcomes], 0.0
         )
         condition.overloaded = middle_error_rate > (
@@ -82,6 +82,6 @@
 
     def _middle_latency(self, servers: Iterable[Server]) -> float:
         latencies = [
-            server.latency.median() or 0.0 for server in servers if server.outcomes.bins[0]
+            server.latency.median() or 0.0 for server in servers if server.attempt_outcomes.bins[0]
         ]
-        return middle_of(latencies, self.slow_position)
+        return upper_median(latencies, self.slow_position)
--- a/havendyke/policy/health_checks.py
+++ b/havendyke/policy/health_checks.py
@@ -15,7 +15,7 @@
 
 
 class HealthCheckScheduler:
-    """Orders health checks; writes `checked_ms` and `check_pending` of servers."""
+    """Orders health checks; writes `last_check_ms` and `check_in_flight` of servers."""
 
     def __init__(self, settings: Settings, seed: int, pace: MigrationPace) -> None:
         self._enabled = settings.health_checks
@@ -39,22 +39,22 @@
             shared_by = checkers if server in named else self._controller_count
             interval_ms = max(MIN_CHECK_INTERVAL_MS, 1000.0 * shared_by / CHECKS_PER_SERVER_PER_S)
             if self._is_due(server, interval_ms, observed.now_ms):
-                server.checked_ms = observed.now_ms
-                server.check_pending = True
+                server.last_check_ms = observed.now_ms
+                server.check_in_flight = True
                 orders.append(SendHealthCheck(server))
         return orders
 
     def _is_due(self, server: Server, interval_ms: float, now_ms: float) -> bool:
-        if server.checked_ms is None:
+        if server.last_check_ms is None:
             # Otherwise all servers would be checked at the same moment.
-            server.checked_ms = now_ms - interval_ms * self._random.draw()
-        if server.check_pending:
+            server.last_check_ms = now_ms - interval_ms * self._random.draw()
+        if server.check_in_flight:
             wait_ms = max(interval_ms, PENDING_INTERVALS * MIN_CHECK_INTERVAL_MS)
         elif server.consecutive_connect_failures + server.unanswered_checks:
             wait_ms = max(TICK_INTERVAL_MS, interval_ms / 2)
         else:
             wait_ms = interval_ms
-        return now_ms - server.checked_ms > wait_ms - TIMER_SLACK_MS
+        return now_ms - server.last_check_ms > wait_ms - TIMER_SLACK_MS
 
 
 def _servers_in_desired_tables(observed: ObservedState) -> set[Server]:
--- a/havendyke/policy/load_limits.py
+++ b/havendyke/policy/load_limits.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from math import log
 
-from ..state import HEALTHY, WARMING_UP, Server, Slice, rendezvous_draw
+from ..state import HEALTHY, WARMING_UP, Server, Slice, rendezvous_hash
 from .slow_start import SlowStart
 
 # A server may have this multiple of its fair share.
@@ -68,4 +68,4 @@
 
 def rendezvous_score(slice_: Slice, server: Server) -> float:
     """Weighted rendezvous hashing: the server with the highest score is chosen."""
-    return -max(server.capacity, MIN_CAPACITY) / log(rendezvous_draw(slice_, server))
+    return -max(server.capacity, MIN_CAPACITY) / log(rendezvous_hash(slice_, server))
--- a/havendyke/policy/migration.py
+++ b/havendyke/policy/migration.py
@@ -27,9 +27,9 @@
         if target is not None:
             target.assigned_load += demand
             target.assigned_slices.append(slice_)
-            target.received_slice_ms = now_ms
+            target.last_slice_received_ms = now_ms
             slice_.migrated_ms = now_ms
-            slice_.last_push = None
+            slice_.last_push_serial = None
         if source is not None:
             source.assigned_load -= demand
             source.assigned_slices.remove(slice_)
--- a/havendyke/policy/outlier_detection.py
+++ b/havendyke/policy/outlier_detection.py
@@ -79,10 +79,10 @@
             max(2 * server.ejection_time_ms, BASE_EJECTION_TIME_MS), MAX_EJECTION_TIME_MS
         )
         server.unhealthy_until_ms = now_ms + server.ejection_time_ms
-        server.outcomes = DecayingHistogram(2)
+        server.attempt_outcomes = DecayingHistogram(2)
 
     def _is_outlier(self, server: Server, now_ms: float, last_success_ms: float) -> bool:
-        succeeded, failed = server.outcomes.bins
+        succeeded, failed = server.attempt_outcomes.bins
         attempts = succeeded + failed
         server.failing = attempts >= MIN_ATTEMPTS and failed > OUTLIER_ERROR_RATE * attempts
         if self._has_recovered(server, now_ms):
@@ -130,7 +130,7 @@
             return True
         # The outcomes are those of 1.5 halving intervals on average.
         missed = (
-            server.outcomes.bins[0]
+            server.attempt_outcomes.bins[0]
             * (now_ms - server.last_success_ms)
             / (1.5 * HALVING_INTERVAL_MS)
         )
--- a/havendyke/policy/pacing.py
+++ b/havendyke/policy/pacing.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from ..interface import Settings
-from ..state import Proxy, Slice, acknowledged_by
+from ..state import Proxy, Slice, serial_acknowledged_by
 
 PUSH_INTERVAL_MS = 1_000.0
 # A migration has settled once proxies with this share of the traffic have acknowledged it.
@@ -21,12 +21,12 @@
 
     def update(self, proxies: Iterable[Proxy], ready_server_count: int) -> None:
         """Takes note of the acknowledgements and of the size of the fleet."""
-        self._settled_push = acknowledged_by(proxies, SETTLED_TRAFFIC_SHARE)
+        self._settled_push = serial_acknowledged_by(proxies, SETTLED_TRAFFIC_SHARE)
         slices_per_server = self._slice_count / max(ready_server_count, 1)
         self.controllers_per_server = min(self._controller_count, max(1.0, slices_per_server))
 
     def is_settled(self, slice_: Slice) -> bool:
         """Whether the slice's last change is in force, so that it may migrate again."""
-        if slice_.last_push is None:
+        if slice_.last_push_serial is None:
             return slice_.desired == slice_.published
-        return slice_.last_push <= self._settled_push
+        return slice_.last_push_serial <= self._settled_push
--- a/havendyke/policy/push_scheduler.py
+++ b/havendyke/policy/push_scheduler.py
@@ -159,9 +159,9 @@
             return
         orders += change.orders
         slice_.published = change.published
-        slice_.last_push = push.serial
-        # Kept apart from `last_push`, which a new choice of the primary resets.
-        slice_.cleared_by = None if change.published else push
+        slice_.last_push_serial = push.serial
+        # Kept apart from `last_push_serial`, which a new choice of the primary resets.
+        slice_.clearing_push = None if change.published else push
 
     def _add_bindings(
         self, orders: list[Order], connected: Sequence[Proxy], budget: PushBudget
@@ -186,10 +186,11 @@
             proxy
             for push in channel.pushes
             if push.sent_ms > asked_after_ms
-            for proxy in push.awaiting
+            for proxy in push.awaiting_proxies
         }
         return any(
-            proxy.acknowledged < channel.last_serial and proxy not in asked for proxy in connected
+            proxy.acknowledged_serial < channel.last_serial and proxy not in asked
+            for proxy in connected
         )
 
     def _send(self, observed: ObservedState, push: Push, order_count: int, expedited: bool) -> None:
--- a/havendyke/policy/rebalancer.py
+++ b/havendyke/policy/rebalancer.py
@@ -30,7 +30,7 @@
 class Rebalancer:
     """Finds overloaded servers over several report intervals, and moves one slice off each.
 
-    Writes `overloaded_intervals` and `released_slice_ms` of servers.
+    Writes `overloaded_intervals` and `last_slice_released_ms` of servers.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         interval_ms = PUSH_INTERVAL_MS - 1 if congested_alone else SERVER_INTERVAL_MS
         # All controllers that hold slices of the server share its interval.
         shared_ms = self._pace.controllers_per_server * interval_ms
-        return now_ms - server.released_slice_ms > shared_ms
+        return now_ms - server.last_slice_released_ms > shared_ms
 
     def _is_target(self, server: Server, now_ms: float) -> bool:
         # A server that this controller hardly uses is seldom reported, yet may be full of slices of
@@ -113,7 +113,7 @@
             and not server.ejected
             and server.relative_latency < UNDERLOADED_RELATIVE_LATENCY
             and (server.in_flight.median() or 0.0) <= self._fleet.condition.usual_in_flight
-            and now_ms - max(server.released_slice_ms, server.received_slice_ms)
+            and now_ms - max(server.last_slice_released_ms, server.last_slice_received_ms)
             > SERVER_INTERVAL_MS * self._pace.controllers_per_server
         )
 
@@ -127,7 +127,7 @@
             if fitting:
                 target = self._draw_target(fitting, demand_of(slice_))
                 self._migrator.migrate(slice_, target, now_ms)
-                source.released_slice_ms = now_ms
+                source.last_slice_released_ms = now_ms
                 return target
         return None
 
--- a/havendyke/policy/recovery_ramp.py
+++ b/havendyke/policy/recovery_ramp.py
@@ -54,7 +54,7 @@
                 or self._limits.utilization(server) < RECOVERED_UTILIZATION
             )
         targets = sorted(
-            (s for s in recovering if now_ms - s.received_slice_ms >= PUSH_INTERVAL_MS),
+            (s for s in recovering if now_ms - s.last_slice_received_ms >= PUSH_INTERVAL_MS),
             key=self._limits.utilization,
         )
         # Searched once for all targets, since a release brings many.
--- a/havendyke/policy/server_capacity.py
+++ b/havendyke/policy/server_capacity.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Sequence
 
 from ..interface import Settings
-from ..state import HEALTHY, UNAVAILABLE, UNHEALTHY, WARMING_UP, HealthState, Server, middle_of
+from ..state import HEALTHY, UNAVAILABLE, UNHEALTHY, WARMING_UP, HealthState, Server, upper_median
 from ..state.histogram import ratio
 from .fleet_condition import FleetMonitor
 
@@ -37,7 +37,7 @@
     ) -> None:
         """Updates every server; without a current endpoint list, unlisted servers stay usable."""
         medians = [m for s in ready_servers if (m := s.latency.median()) is not None]
-        fleet_median = middle_of(medians, None)
+        fleet_median = upper_median(medians, None)
         for server in servers:
             progress = server.warm_up_progress(now_ms, self._warm_up_ms, self._initial_share)
             self._update_capacity(server, fleet_median, progress)
--- a/havendyke/policy/table_diff.py
+++ b/havendyke/policy/table_diff.py
@@ -127,10 +127,10 @@
         Each proxy that had the owner's entry has acknowledged the push that removed it, or its
         lease has ended; and the longest write since then has ended.
         """
-        push = slice_.cleared_by
+        push = slice_.clearing_push
         if push is None:
             return True
-        if push.awaiting:
+        if push.awaiting_proxies:
             return False
         unused_since_ms = max(push.settled_ms, slice_.assigned_ms + self._lease_ms)
         return now_ms - unused_since_ms >= self._max_write_in_flight_ms
--- a/havendyke/registry.py
+++ b/havendyke/registry.py
@@ -5,7 +5,7 @@
 
 from .interface import Event, Order, Settings
 from .policy import Controller
-from .state import Proxy, Server, Slice, departed
+from .state import Proxy, Server, Slice, unreferenced_servers
 
 Id = TypeVar("Id", bound=Hashable)
 Object = TypeVar("Object")
@@ -56,7 +56,7 @@
         # A pending event may refer to a server that no table and no list names.
         if self.pending_events:
             return []
-        gone = departed(self.controller.servers, self.controller.slices)
+        gone = unreferenced_servers(self.controller.servers, self.controller.slices)
         for server in gone:
             self.controller.servers.remove(server)
             del self.servers[server.id]
--- a/havendyke/state/__init__.py
+++ b/havendyke/state/__init__.py
@@ -1,11 +1,11 @@
 """What the controller observes of servers, slices, proxies and pushes. Nothing here decides."""
 
-from .histogram import DecayingHistogram, middle_of
+from .histogram import DecayingHistogram, upper_median
 from .observed import ObservedState
-from .proxy import ConnectedProxyCount, Proxy, acknowledged_by, connections_per_server
+from .proxy import ConnectedProxyCount, Proxy, connections_per_server, serial_acknowledged_by
 from .push import Push, PushChannel
 from .random_numbers import LinearCongruentialGenerator
-from .rendezvous import rendezvous_draw, rounding_offset
+from .rendezvous import rendezvous_hash, rounding_offset
 from .server import (
     HEALTHY,
     UNAVAILABLE,
@@ -15,7 +15,7 @@
     Server,
     ZoneFailureReport,
 )
-from .slice import Slice, departed, slices_by_server
+from .slice import Slice, slices_by_server, unreferenced_servers
 
 __all__ = [
     "HEALTHY",
@@ -33,11 +33,11 @@
     "Server",
     "Slice",
     "ZoneFailureReport",
-    "acknowledged_by",
+    "serial_acknowledged_by",
     "connections_per_server",
-    "departed",
-    "middle_of",
-    "rendezvous_draw",
+    "unreferenced_servers",
+    "upper_median",
+    "rendezvous_hash",
     "rounding_offset",
     "slices_by_server",
 ]
--- a/havendyke/state/histogram.py
+++ b/havendyke/state/histogram.py
@@ -67,7 +67,7 @@
         return None
 
 
-def middle_of(values: Iterable[float], default: Value) -> float | Value:
+def upper_median(values: Iterable[float], default: Value) -> float | Value:
     """The upper median of the values, `default` where there are none."""
     ordered = sorted(values)
     return ordered[len(ordered) // 2] if ordered else default
--- a/havendyke/state/observed.py
+++ b/havendyke/state/observed.py
@@ -60,7 +60,7 @@
         self.last_success_ms = NEVER_MS  # of any server
         self.last_disconnect_ms = NEVER_MS  # of any proxy
         # Counted since the last adjustment of admission.
-        self.attempts = DecayingHistogram(2)  # that succeeded and that failed
+        self.attempt_outcomes = DecayingHistogram(2)  # that succeeded and that failed
         self.offered_requests = 0.0
         # An event calls for a reconciliation before the next tick.
         self.reconciliation_due = True
@@ -114,10 +114,10 @@
 
     def reset_request_counts(self) -> None:
         """Restarts the counts of attempts and offered requests, after admission was adjusted."""
-        self.attempts = DecayingHistogram(2)
+        self.attempt_outcomes = DecayingHistogram(2)
         self.offered_requests = 0.0
 
-    def revoke_confirmed_ejections(self) -> None:
+    def mark_ejections_unconfirmed(self) -> None:
         """After proxies reconnected, ejections and their ends must be sent again.
 
         Done once a reconciliation, since a whole fleet may connect within one.
@@ -157,12 +157,12 @@
     def _connect_proxy(self, event: ProxyConnected) -> None:
         proxy = event.proxy
         if proxy.connected:
-            self.connected_by_zone[proxy.zone].change(-1)
-        self.connected_by_zone[event.zone].change(1)
+            self.connected_by_zone[proxy.zone].adjust(-1)
+        self.connected_by_zone[event.zone].adjust(1)
         proxy.connected = True
         proxy.request_rate = event.request_rate
         proxy.zone = event.zone
-        proxy.acknowledged = 0
+        proxy.acknowledged_serial = 0
         proxy.bound = False
         self._proxies_reconnected = True
         if not self.settings.slice_count:
@@ -171,9 +171,9 @@
     def _disconnect_proxy(self, event: ProxyDisconnected) -> None:
         proxy = event.proxy
         if proxy.connected:
-            self.connected_by_zone[proxy.zone].change(-1)
+            self.connected_by_zone[proxy.zone].adjust(-1)
         proxy.connected = False
-        proxy.acknowledged = 0
+        proxy.acknowledged_serial = 0
         self.last_disconnect_ms = self.now_ms
         self.channel.settle_disconnected(proxy, self.now_ms + self.settings.lease_ms)
 
@@ -184,18 +184,18 @@
         slice_.assigned = event.assigned
         slice_.published = {}
         slice_.desired = {}
-        slice_.last_push = None
+        slice_.last_push_serial = None
         # Where no snapshot entry follows, the controller before may have removed the primary just
         # now, and proxies may still use it.
         lease_end_ms = self.last_disconnect_ms + self.settings.lease_ms
-        slice_.cleared_by = Push(0, 0, set(), self.now_ms, max(self.now_ms, lease_end_ms))
+        slice_.clearing_push = Push(0, 0, set(), self.now_ms, max(self.now_ms, lease_end_ms))
         self.reconciliation_due = True
 
     def _restore_entry(self, event: SnapshotEntry) -> None:
         slice_ = event.slice
         slice_.published[event.server] = event.weight
         slice_.desired[event.server] = event.weight
-        slice_.cleared_by = None
+        slice_.clearing_push = None
         # Standby entries that are there at the start come from an earlier controller, which may
         # have left servers ejected.
         if self.channel.last_serial == 0 and len(slice_.published) > 1:
@@ -212,7 +212,7 @@
             self.now_ms, event.failures / max(event.attempts, 1)
         )
         self._count_in_flight(server, event.load)
-        for histogram in (server.outcomes, self.attempts):
+        for histogram in (server.attempt_outcomes, self.attempt_outcomes):
             histogram.add(0, successes)
             histogram.add(1, event.failures)
         if successes > 0:
@@ -231,7 +231,7 @@
 
     def _end_health_check(self, event: HealthCheckResult) -> None:
         server = event.server
-        server.check_pending = False
+        server.check_in_flight = False
         self._count_in_flight(server, event.load)
         if event.outcome == HealthCheckOutcome.PASSED:
             server.consecutive_connect_failures = 0
--- a/havendyke/state/proxy.py
+++ b/havendyke/state/proxy.py
@@ -13,7 +13,7 @@
         self.connected = False
         self.request_rate = 1.0  # requests a second
         self.zone = 0
-        self.acknowledged = 0  # serial of a push; 0: none on this stream
+        self.acknowledged_serial = 0  # serial of a push; 0: none on this stream
         self.bound = False  # to its tables, in a deployment without slices
 
 
@@ -24,21 +24,21 @@
     connected: int = 0
     peak: float = 0.0
 
-    def change(self, difference: int) -> None:
+    def adjust(self, difference: int) -> None:
         """Counts proxies that connect (positive) or disconnect (negative)."""
         self.connected += difference
         self.peak = max(self.peak, self.connected)
 
 
-def acknowledged_by(proxies: Iterable[Proxy], share: float) -> int:
+def serial_acknowledged_by(proxies: Iterable[Proxy], share: float) -> int:
     """The serial of the last push that proxies with this share of the traffic have acknowledged."""
-    connected = sorted((p for p in proxies if p.connected), key=lambda p: -p.acknowledged)
+    connected = sorted((p for p in proxies if p.connected), key=lambda p: -p.acknowledged_serial)
     missing_rate = share * sum(p.request_rate for p in connected)
     serial = 0
     for proxy in connected:
         if missing_rate > 0:
             missing_rate -= proxy.request_rate
-            serial = proxy.acknowledged
+            serial = proxy.acknowledged_serial
     return serial
 
 
--- a/havendyke/state/push.py
+++ b/havendyke/state/push.py
@@ -17,7 +17,7 @@
         self,
         serial: int,
         entries_per_proxy: float,
-        awaiting: set[Proxy],
+        awaiting_proxies: set[Proxy],
         sent_ms: float,
         settled_ms: float,
     ) -> None:
@@ -25,25 +25,25 @@
         self.nonce = serial % NONCE_RANGE  # its number on the wire
         # With the overhead of its messages; known only once the push is sent.
         self.entries_per_proxy = entries_per_proxy
-        self.awaiting = awaiting
+        self.awaiting_proxies = awaiting_proxies
         self.sent_ms = sent_ms
         # Until then some proxy may have used its earlier table: the last acknowledgement, or the
         # end of the lease of a proxy whose stream broke.
         self.settled_ms = settled_ms
-        self.recipients = len(awaiting)
+        self.recipients = len(awaiting_proxies)
 
     def add_recipient(self, proxy: Proxy) -> None:
         """Counts a proxy that may have received the push too."""
-        self.recipients += proxy not in self.awaiting
-        self.awaiting.add(proxy)
+        self.recipients += proxy not in self.awaiting_proxies
+        self.awaiting_proxies.add(proxy)
 
     def settle(self, proxy: Proxy, at_ms: float) -> None:
         """From `at_ms` on the proxy uses what was pushed, or nothing.
 
         Has no effect on a proxy that owes no acknowledgement.
         """
-        if proxy in self.awaiting:
-            self.awaiting.discard(proxy)
+        if proxy in self.awaiting_proxies:
+            self.awaiting_proxies.discard(proxy)
             self.settled_ms = max(self.settled_ms, at_ms)
 
     def entries_in_channel(self, now_ms: float, push_delay_ms: float) -> float:
@@ -53,7 +53,7 @@
         is extrapolated at the same pace, to at most twice as much.
         """
         elapsed_ms = now_ms - self.sent_ms
-        acknowledged = self.recipients - len(self.awaiting)
+        acknowledged = self.recipients - len(self.awaiting_proxies)
         sent = acknowledged * elapsed_ms / max(elapsed_ms - push_delay_ms, elapsed_ms / 2, 1e-9)
         return self.entries_per_proxy * max(0.0, self.recipients - sent)
 
@@ -76,10 +76,12 @@
 
     def acknowledge(self, proxy: Proxy, nonce: int, now_ms: float) -> None:
         """A proxy has applied the push with this nonce and all before it."""
-        serials = [p.serial for p in self.pushes if p.nonce == nonce and proxy in p.awaiting]
-        proxy.acknowledged = max([proxy.acknowledged, *serials])
+        serials = [
+            p.serial for p in self.pushes if p.nonce == nonce and proxy in p.awaiting_proxies
+        ]
+        proxy.acknowledged_serial = max([proxy.acknowledged_serial, *serials])
         for push in self.pushes:
-            if push.serial <= proxy.acknowledged:
+            if push.serial <= proxy.acknowledged_serial:
                 push.settle(proxy, now_ms)
 
     def settle_disconnected(self, proxy: Proxy, lease_end_ms: float) -> None:
@@ -96,7 +98,7 @@
         for push in self.pushes:
             if push.nonce in unsent:
                 self.queued_entries -= push.entries_per_proxy * push.recipients
-                push.awaiting = set()
+                push.awaiting_proxies = set()
 
     def estimate_queue(
         self,
@@ -106,9 +108,9 @@
         slowest_entries_per_ms: float,
     ) -> float:
         """An estimate of the table entries that wait in the channel; forgets settled pushes."""
-        self.pushes = [push for push in self.pushes if push.awaiting]
+        self.pushes = [push for push in self.pushes if push.awaiting_proxies]
         # Messages leave in order: once a push is acknowledged, all before it have left.
-        last_left = max((proxy.acknowledged for proxy in proxies), default=0)
+        last_left = max((proxy.acknowledged_serial for proxy in proxies), default=0)
         unacknowledged = sum(
             push.entries_in_channel(now_ms, push_delay_ms)
             for push in self.pushes
--- a/havendyke/state/rendezvous.py
+++ b/havendyke/state/rendezvous.py
@@ -16,7 +16,7 @@
 GOLDEN_RATIO = 0.618
 
 
-def rendezvous_draw(slice_: Slice, server: Server) -> float:
+def rendezvous_hash(slice_: Slice, server: Server) -> float:
     """A number above 0 and up to 1 for a slice and a server, the same at every controller."""
     digest = slice_.hash_prefix.copy()
     digest.update(server.hash_key)
--- a/havendyke/state/server.py
+++ b/havendyke/state/server.py
@@ -58,22 +58,24 @@
         self.hash_key = str(ident).encode()
         # From the endpoint list. No state: a published table names it, no list has so far.
         self.state: ServerState | None = None
-        self.left_ms: float | None = None  # when the list first called it draining or gone
+        self.not_ready_since_ms: float | None = (
+            None  # when the list first called it draining or gone
+        )
         self.started_ms: float | None = None
         self.start_assumed = False  # the start time comes from a cached list that is not trusted
         self.zone = 0
         self.size = 1.0
-        # From load reports and health checks; `outlier_detection` clears `outcomes` at an ejection.
+        # From load reports and health checks; `outlier_detection` clears `attempt_outcomes`.
         self.latency = DecayingHistogram(HISTOGRAM_BINS)
-        self.outcomes = DecayingHistogram(2)  # attempts that succeeded and that failed
+        self.attempt_outcomes = DecayingHistogram(2)  # attempts that succeeded and that failed
         self.in_flight = DecayingHistogram(HISTOGRAM_BINS)
         self.failure_reports: dict[int, ZoneFailureReport] = {}  # by reporting zone
         self.last_success_ms = NEVER_MS
         self.consecutive_connect_failures = 0
         self.unanswered_checks = 0
-        # `health_checks`; a check's result ends `check_pending`.
-        self.checked_ms: float | None = None
-        self.check_pending = False
+        # `health_checks`; a check's result ends `check_in_flight`.
+        self.last_check_ms: float | None = None
+        self.check_in_flight = False
         # `outlier_detection`; `recovery_ramp` ends `recovering`.
         self.unhealthy_until_ms: float | None = None
         self.ejection_time_ms = 0.0  # the last one, doubled by the next
@@ -93,8 +95,8 @@
         # it rounds down to whole slices.
         self.rounding_offset: float | None = None
         # `migration` and `rebalancer`
-        self.received_slice_ms = NEVER_MS
-        self.released_slice_ms = NEVER_MS
+        self.last_slice_received_ms = NEVER_MS
+        self.last_slice_released_ms = NEVER_MS
         self.overloaded_intervals = 0
         # `ejection`
         self.ejected = False  # out of all tables at the proxies
@@ -105,7 +107,7 @@
 
     def halve_histograms(self) -> None:
         """Halves the weight of earlier reports against those to come."""
-        for histogram in (self.latency, self.outcomes, self.in_flight):
+        for histogram in (self.latency, self.attempt_outcomes, self.in_flight):
             histogram.halve()
 
     def warm_up_progress(self, now_ms: float, warm_up_ms: float, initial_share: float) -> float:
@@ -118,7 +120,7 @@
     def begin_incarnation(self) -> None:
         """Forgets what was observed of the process that ran before."""
         self.latency = DecayingHistogram(HISTOGRAM_BINS)
-        self.outcomes = DecayingHistogram(2)
+        self.attempt_outcomes = DecayingHistogram(2)
         self.failure_reports = {}
         self.unhealthy_until_ms = None
         self.ejection_time_ms = 0.0
@@ -130,9 +132,9 @@
     def set_state(self, state: ServerState, now_ms: float) -> None:
         """Takes over what the endpoint list says at `now_ms`."""
         if state == ServerState.READY:
-            self.left_ms = None
-        elif self.left_ms is None:
-            self.left_ms = now_ms
+            self.not_ready_since_ms = None
+        elif self.not_ready_since_ms is None:
+            self.not_ready_since_ms = now_ms
         self.state = state
 
     @property
--- a/havendyke/state/slice.py
+++ b/havendyke/state/slice.py
@@ -37,9 +37,9 @@
         self.migrated_ms = NEVER_MS
         # Serial of the last push that changed the table; None after a migration or an assignment,
         # until the next push changes it.
-        self.last_push: int | None = None
+        self.last_push_serial: int | None = None
         # Exclusive ownership: the push that removed the endpoint, until another one is published.
-        self.cleared_by: Push | None = None
+        self.clearing_push: Push | None = None
 
     def primary(self) -> Server | None:
         """The server with the largest desired weight."""
@@ -58,7 +58,7 @@
         return weight / (weight + sum(w for s, w in self.published.items() if not s.ejected))
 
 
-def departed(servers: Iterable[Server], slices: Iterable[Slice]) -> list[Server]:
+def unreferenced_servers(servers: Iterable[Server], slices: Iterable[Slice]) -> list[Server]:
     """The servers that the endpoint list no longer has and no table names."""
     named = {
         server
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import raw_config, whole_list
+from helpers import complete_list, raw_config
 
 from havendyke.cli.main import main
 from havendyke.interface import ServerState
@@ -130,7 +130,7 @@
         listen=listen,
         discovery="127.0.0.1:1",
         distributor={"address": "127.0.0.1:1"},
-        known=whole_list("s1"),
+        known=complete_list("s1"),
     )
     (tmp_path / "config.json").write_text(json.dumps(raw))
     return subprocess.Popen(
--- a/tests/cli/test_events.py
+++ b/tests/cli/test_events.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from havendyke.cli.main import main
-from havendyke.events import EVENTS, page
+from havendyke.events import EVENTS, render_page
 
 ROOT = Path(__file__).parents[2]
 
@@ -35,6 +35,6 @@
 
 
 def test_the_operators_page_is_made_of_the_register(capsys):
-    assert (ROOT / "docs" / "operators" / "events.md").read_text() == page()
+    assert (ROOT / "docs" / "operators" / "events.md").read_text() == render_page()
     assert main(["events", "pussh"]) == 2 and "did you mean 'push'?" in capsys.readouterr().err
     assert main(["events", "push", "--json"]) == 0 and '"nonce"' in capsys.readouterr().out
--- a/tests/controller_scene.py
+++ b/tests/controller_harness.py
@@ -114,7 +114,7 @@
     return [order for order in orders if isinstance(order, core.ClearTable)]
 
 
-class ControllerScene:
+class ControllerHarness:
     """One controller, and what a test does to it and reads from it."""
 
     def __init__(self, settings: core.Settings | None = None, seed: int = 7, **changes: Any):
@@ -125,16 +125,16 @@
         self.controller.decay._halved_ms = START_MS
 
     @classmethod
-    def around(cls, controller: Controller) -> ControllerScene:
+    def wrap(cls, controller: Controller) -> ControllerHarness:
         """The scene of a controller that an adapter made and drives."""
         scene = cls.__new__(cls)
         scene.controller = controller
         return scene
 
     @classmethod
-    def unstarted(cls, settings: core.Settings, seed: int) -> ControllerScene:
+    def unstarted(cls, settings: core.Settings, seed: int) -> ControllerHarness:
         """A controller that has yet to reconcile for the first time."""
-        return cls.around(Controller(settings, seed))
+        return cls.wrap(Controller(settings, seed))
 
     # The clock
 
@@ -199,7 +199,7 @@
         for ident, primary in enumerate(primaries):
             slice_ = self.add_slice(ident)
             self.assign(slice_)
-            self.read_back(slice_, primary)
+            self.restore_entry(slice_, primary)
             slices.append(slice_)
         return slices
 
@@ -237,7 +237,7 @@
     def assign(self, slice_: Slice, assigned: bool = True) -> None:
         self.observe(core.SliceAssignment(slice_, assigned))
 
-    def read_back(self, slice_: Slice, server: Server, weight: float = 1.0) -> None:
+    def restore_entry(self, slice_: Slice, server: Server, weight: float = 1.0) -> None:
         """The store's snapshot has this entry in the slice's table."""
         self.observe(core.SnapshotEntry(slice_, server, weight))
 
@@ -267,7 +267,7 @@
         """Requests of class 0 came for a slice within the last second."""
         self.observe(core.SliceLoadReport(slice_, 0, requests, 0, 1000.0))
 
-    def end_health_check(
+    def report_health_check(
         self, server: Server, outcome: core.HealthCheckOutcome, latency_ms: float = 5.0
     ) -> None:
         self.observe(core.HealthCheckResult(server, outcome, latency_ms))
@@ -285,7 +285,7 @@
 
     def mark_ejections_unconfirmed(self) -> None:
         """After proxies connected: they may not know which servers are ejected."""
-        self.controller.observed.revoke_confirmed_ejections()
+        self.controller.observed.mark_ejections_unconfirmed()
 
     def evaluate_health(self) -> None:
         """Fleet condition, zone loss, outlier detection and each server's health."""
@@ -312,7 +312,7 @@
         """The desired tables of all assigned slices."""
         self.controller.plan_tables()
 
-    def plan_without_slices(self) -> None:
+    def plan_shared_tables(self) -> None:
         """The desired tables of a deployment that has no slices."""
         self.controller.shared_tables.plan(self.servers)
 
@@ -397,7 +397,7 @@
         return self.controller.planner.slow_start._overload_factor
 
     @property
-    def largest_fleet_capacity(self) -> float:
+    def peak_fleet_capacity(self) -> float:
         return self.controller.planner.slow_start.fleet_capacity.peak
 
     @property
@@ -476,10 +476,10 @@
         server.last_success_ms = time_ms
 
     def check_in_flight(self, server: Server) -> bool:
-        return server.check_pending
+        return server.check_in_flight
 
     def set_last_check(self, server: Server, time_ms: float) -> None:
-        server.checked_ms = time_ms
+        server.last_check_ms = time_ms
 
     def is_recovering(self, server: Server) -> bool:
         """Whether it came back and is yet to get its slices."""
@@ -518,10 +518,10 @@
         self.controller.planner.rebalancer._interval_began_ms = self.now_ms
 
     def last_migration_from(self, server: Server) -> float:
-        return server.released_slice_ms
+        return server.last_slice_released_ms
 
     def set_last_migration_from(self, server: Server, time_ms: float) -> None:
-        server.released_slice_ms = time_ms
+        server.last_slice_released_ms = time_ms
 
     def set_migration_budget(self, slices: float) -> None:
         """The migrations by choice that the next push has room for."""
@@ -591,11 +591,11 @@
 
     def set_last_push(self, slice_: Slice, push: int | None) -> None:
         """The number of the push that last changed its table; None: a change waits for one."""
-        slice_.last_push = push
+        slice_.last_push_serial = push
 
     def clearing_push_is_unacknowledged(self, slice_: Slice) -> bool:
         """Whether a proxy has yet to acknowledge the push that cleared its table."""
-        return bool(slice_.cleared_by.awaiting)
+        return bool(slice_.clearing_push.awaiting_proxies)
 
     def count_settled_queries(self) -> Counter[int]:
         """Counts, by slice, how often a step from now on asks whether the slice is settled."""
@@ -618,10 +618,10 @@
 
     def acknowledged_push(self, proxy: Proxy) -> int:
         """The number of the last push that a proxy has acknowledged."""
-        return proxy.acknowledged
+        return proxy.acknowledged_serial
 
     def set_acknowledged_push(self, proxy: Proxy, push: int) -> None:
-        proxy.acknowledged = push
+        proxy.acknowledged_serial = push
 
     def request_rate(self, proxy: Proxy) -> float:
         """Requests a second that a proxy is expected to bring."""
@@ -655,7 +655,7 @@
         channel.last_serial = 1
 
     def has_unacknowledged_pushes(self) -> bool:
-        return any(push.awaiting for push in self.controller.observed.channel.pushes)
+        return any(push.awaiting_proxies for push in self.controller.observed.channel.pushes)
 
     def queued_entries(self) -> float:
         """The estimate of the entries that wait in the channel."""
@@ -683,7 +683,7 @@
         raise AssertionError("a step went through all slices")
 
 
-class FleetCapacityScene:
+class FleetCapacityHarness:
     """The fleet's capacity at its largest, as servers come and go."""
 
     def __init__(self) -> None:
@@ -691,13 +691,13 @@
 
     def observe(self, healthy: int, warming_up: int) -> None:
         """So many servers of size 1 are ready now."""
-        servers = ControllerScene().add_servers(healthy + warming_up)
+        servers = ControllerHarness().add_servers(healthy + warming_up)
         for server in servers[healthy:]:
             server.health = HealthState.WARMING_UP
         self._fleet.observe(servers)
 
     @property
-    def largest(self) -> float:
+    def peak(self) -> float:
         return self._fleet.peak
 
 
@@ -717,14 +717,14 @@
 
 def controller_group(
     count: int, servers: int, primaries: Sequence[int], **settings: Any
-) -> list[ControllerScene]:
+) -> list[ControllerHarness]:
     """Controllers with the same servers, each with its part of the slices in turn.
 
     `primaries`: each slice's primary, by the server's number.
     """
     scenes = []
     for index in range(count):
-        scene = ControllerScene(
+        scene = ControllerHarness(
             slice_count=len(primaries),
             controller_count=count,
             controller_index=index,
@@ -735,14 +735,14 @@
         for ident in range(index, len(primaries), count):
             slice_ = scene.add_slice(ident)
             scene.assign(slice_)
-            scene.read_back(slice_, endpoints[primaries[ident]])
+            scene.restore_entry(slice_, endpoints[primaries[ident]])
             scene.set_assigned_at(slice_, LONG_AGO_MS)
             scene.add_requests(slice_, 10.0)
         scenes.append(scene)
     return scenes
 
 
-def add_slices_with_demand(scene: ControllerScene, primaries: Iterable[Server]) -> list[Slice]:
+def add_slices_with_demand(scene: ControllerHarness, primaries: Iterable[Server]) -> list[Slice]:
     """Slices of equal demand that were assigned long ago."""
     slices = scene.add_slices(primaries)
     for slice_ in slices:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,7 @@
 
 from havendyke import config
 from havendyke.lab import hub as lab
-from havendyke.lab.hub import LabHub as FakeHub
+from havendyke.lab.hub import LabHub as FakeEventLoop
 from havendyke.lab.hub import Transport  # noqa: F401  for the tests
 from havendyke.net.assigner import Assigner
 from havendyke.net.buffer import Buffer
@@ -43,7 +43,7 @@
     } | more
 
 
-def listed(ident, state="in_service", **more):
+def listed_server(ident, state="in_service", **more):
     return {
         "uid": ident,
         "endpoint": "127.0.0.9:80",
@@ -56,8 +56,8 @@
     } | more
 
 
-def whole_list(*idents, rev=1, full=True):
-    return {"rev": rev, "all": full, "targets": [listed(i) for i in idents]}
+def complete_list(*idents, rev=1, full=True):
+    return {"rev": rev, "all": full, "targets": [listed_server(i) for i in idents]}
 
 
 def feed(connection, data):
@@ -68,22 +68,25 @@
     )
 
 
-def front(**limits):
+def make_assigner(**limits):
     """An assigner on a hub of the test's own, its discovery and relay not yet up."""
-    hub = FakeHub(**{"news_streams": 1} | limits)  # a test opens further ones itself
+    hub = FakeEventLoop(**{"news_streams": 1} | limits)  # a test opens further ones itself
     return Assigner(
-        config.read_config(raw_config(known=whole_list("s1", "s2", "s3")), {}), hub
+        config.read_config(raw_config(known=complete_list("s1", "s2", "s3")), {}), hub
     ), hub
 
 
 # Messages of the relay and of discovery, and what comes of them.
 
-SUB = {"method": "SUBSCRIBE", "params": {"sidecar": 1, "az": "a", "share": 2.0, "standing": True}}
-LEFT = {"method": "CLOSED", "params": {"sidecar": 1}}
-ACK = {"method": "ACK", "params": {"sidecar": 1, "version": 7, "lag_ms": 3.0}}
-GRANT = {"method": "GRANT", "params": {"partition": 4, "yes": True}}
-ROW = {"method": "ROW", "params": {"partition": 4, "host": "s1", "share": 1.0}}
-TRUE = {"id": 1, "result": True}
+PROXY_CONNECTED = {
+    "method": "SUBSCRIBE",
+    "params": {"sidecar": 1, "az": "a", "share": 2.0, "standing": True},
+}
+PROXY_DISCONNECTED = {"method": "CLOSED", "params": {"sidecar": 1}}
+PUSH_ACKNOWLEDGED = {"method": "ACK", "params": {"sidecar": 1, "version": 7, "lag_ms": 3.0}}
+SLICE_ASSIGNED = {"method": "GRANT", "params": {"partition": 4, "yes": True}}
+TABLE_ENTRY = {"method": "ROW", "params": {"partition": 4, "host": "s1", "share": 1.0}}
+SUCCESS_REPLY = {"id": 1, "result": True}
 
 
 def weight_order(slice_id, server_id, weight=1.0):
@@ -95,22 +98,22 @@
     return {"method": "ROW", "params": {"partition": 4, "host": server_id, "share": weight}}
 
 
-def told(assigner, *kinds):
+def take_pending_events(assigner, *kinds):
     events = [e for e in assigner.registry.pending_events if not kinds or isinstance(e, kinds)]
     assigner.registry.pending_events = []
     return events
 
 
-def quiet(assigner):
+def suspend_reconciliation(assigner):
     """Turns are left out: what the front tells stays in the inbox."""
     assigner.reconcile_pending = True
     return assigner
 
 
-def standing(assigner, hub, *news):
+def open_watch_stream(assigner, hub, *news):
     """One connection with news, on which this stands."""
     assigner.relay.watch.add_stream()
-    feed(hub.open("relay_watch"), [TRUE, *news])
+    feed(hub.open("relay_watch"), [SUCCESS_REPLY, *news])
     hub.pass_time(100)
 
 
@@ -124,13 +127,13 @@
     ][-1]
 
 
-def sent(connection):
+def sent_orders(connection):
     """The orders of the calls that went out on a connection, and the last call's number."""
     calls = [orjson.loads(text) for text in connection.transport.written.splitlines()]
     return [c["params"]["orders"] for c in calls], calls[-1]["id"]
 
 
-def answer(body, chunked=True):
+def http_response(body, chunked=True):
     body = orjson.dumps(body) + b"\n"
     if chunked:
         return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (
--- a/tests/lab/deployment.py
+++ b/tests/lab/deployment.py
@@ -1,7 +1,7 @@
 """A deployment for several controllers: settings with room for what a lost zone moves, and skewed
 demand."""
 
-from controller_scene import LONG_AGO_MS, ControllerScene, LinearCongruentialGenerator
+from controller_harness import LONG_AGO_MS, ControllerHarness, LinearCongruentialGenerator
 
 from havendyke import interface as core
 from havendyke.lab.controllers import ControllerGroup
@@ -65,7 +65,7 @@
     )
     controllers.go(500.0)
     for replica in controllers.replicas:
-        scene = ControllerScene.around(replica.registry.controller)
+        scene = ControllerHarness.wrap(replica.registry.controller)
         scene.set_started_long_ago()
         for slice_ in scene.slices:
             scene.set_assigned_at(slice_, LONG_AGO_MS)
--- a/tests/lab/test_scale_run.py
+++ b/tests/lab/test_scale_run.py
@@ -8,7 +8,7 @@
 from functools import cache
 
 import pytest
-from controller_scene import replace_health_evaluation
+from controller_harness import replace_health_evaluation
 
 from havendyke.lab.scale.course import SHORT, Course
 from havendyke.lab.scale.fleet import Fleet
--- a/tests/lab/test_several_controllers.py
+++ b/tests/lab/test_several_controllers.py
@@ -1,7 +1,7 @@
 """Faults of a deployment with several controllers: all of their proxies together keep the rules."""
 
 import pytest
-from controller_scene import PUSH_INTERVAL_MS, ControllerScene
+from controller_harness import PUSH_INTERVAL_MS, ControllerHarness
 from deployment import PROXIES, SERVERS, deployment
 
 from havendyke import interface as core
@@ -213,7 +213,7 @@
 
 
 def listed_state(replica, name):
-    scene = ControllerScene.around(replica.registry.controller)
+    scene = ControllerHarness.wrap(replica.registry.controller)
     return scene.listed_state(replica.registry.server(name))
 
 
--- a/tests/net/test_assigner.py
+++ b/tests/net/test_assigner.py
@@ -1,22 +1,32 @@
 """Reconciliations of one assigner, and what remains of one that fails."""
 
 import pytest
-from helpers import ACK, GRANT, ROW, SUB, feed, front, quiet, sent, standing
+from helpers import (
+    PROXY_CONNECTED,
+    PUSH_ACKNOWLEDGED,
+    SLICE_ASSIGNED,
+    TABLE_ENTRY,
+    feed,
+    make_assigner,
+    open_watch_stream,
+    sent_orders,
+    suspend_reconciliation,
+)
 
 from havendyke import interface as core
 
 
 def test_what_comes_in_together_makes_one_reconciliation_with_one_call():
-    assigner, hub = front()
-    standing(assigner, hub, SUB, GRANT, ROW)
+    assigner, hub = make_assigner()
+    open_watch_stream(assigner, hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY)
     hub.run()
     assert hub.counters["reconciliations"] == 1 and hub.counters["events_ProxyConnected"] == 1
     call = hub.open("relay")
-    assert len(sent(call)[0]) == 1 and sent(call)[0][0][-1]["op"] == "SYNC"
+    assert len(sent_orders(call)[0]) == 1 and sent_orders(call)[0][0][-1]["op"] == "SYNC"
 
 
 def test_a_failed_reconciliation_is_logged_and_the_assigner_goes_on():
-    assigner, hub = front()
+    assigner, hub = make_assigner()
     assigner.reconcile()
     reconcile, assigner.registry.controller.reconcile = (
         assigner.registry.controller.reconcile,
@@ -37,7 +47,7 @@
 
 
 def test_after_a_failed_first_reconciliation_the_next_one_comes():
-    assigner, hub = front()
+    assigner, hub = make_assigner()
     assigner.registry.controller.started_ms = (
         0.0  # as after a failure behind the first reminder's order
     )
@@ -52,11 +62,11 @@
 
 
 def test_a_failed_reconciliation_loses_no_other_event_and_what_it_believed_is_renewed():
-    assigner, hub = front()
-    standing(assigner, hub, GRANT, ROW)
+    assigner, hub = make_assigner()
+    open_watch_stream(assigner, hub, SLICE_ASSIGNED, TABLE_ENTRY)
     hub.run()
     piece, server = assigner.registry.slices[4], assigner.registry.servers["s2"]
-    orders, number = sent(hub.open("relay"))
+    orders, number = sent_orders(hub.open("relay"))
     feed(hub.open("relay"), [{"id": number, "result": {"taken": len(orders[-1])}}])
     hub.pass_time(700)
 
@@ -69,7 +79,7 @@
         raise RuntimeError("one event")
 
     assigner.registry.controller.observed.apply = fails
-    feed(hub.open("relay_watch"), [SUB, ACK])
+    feed(hub.open("relay_watch"), [PROXY_CONNECTED, PUSH_ACKNOWLEDGED])
     hub.run()
     assert hub.counters["failed_reconciliations"] == 2 and assigner.registry.proxies[1].connected
     assert assigner.relay.watch.slices.tables[4].keys() == {s.id for s in piece.published}
@@ -79,8 +89,8 @@
     "name, junk", [("relay_watch", b'{"method": "pi'), ("discovery", b"HTTP/1.1 200 OK\r\nX-")]
 )
 def test_bytes_that_never_make_a_message_are_silence(name, junk):
-    assigner, hub = front(discovery_streams=1)
-    quiet(assigner).relay.watch.start()
+    assigner, hub = make_assigner(discovery_streams=1)
+    suspend_reconciliation(assigner).relay.watch.start()
     assigner.discovery.open_watches()
     connection = hub.open(name)
     feed(connection, junk)
--- a/tests/net/test_collectors.py
+++ b/tests/net/test_collectors.py
@@ -1,7 +1,14 @@
 """Connections that others open: collectors, their reports, and unidentified clients."""
 
 import pytest
-from helpers import StubTransport, connect_client, feed, front, quiet, told
+from helpers import (
+    StubTransport,
+    connect_client,
+    feed,
+    make_assigner,
+    suspend_reconciliation,
+    take_pending_events,
+)
 
 from havendyke import interface as core
 from havendyke.net.resp import encode
@@ -55,15 +62,15 @@
 
 
 def test_reports_become_events_and_nothing_is_written_to_a_collector():
-    assigner, hub = front()
-    quiet(assigner).registry.slice(4)
-    told(assigner)
+    assigner, hub = make_assigner()
+    suspend_reconciliation(assigner).registry.slice(4)
+    take_pending_events(assigner)
     connection = connect_client(assigner)
     feed(
         connection,
         encode("SOURCE", "az", "a") + encode(*LOAD) + encode(*SHARD) + changed(SHARD, "bad", "41"),
     )
-    load, shard, late = told(assigner)
+    load, shard, late = take_pending_events(assigner)
     assert late.failures == 41  # of operations that came before
     assert (load.attempts, load.failures, load.latency_ms, load.load) == (
         212,
@@ -80,13 +87,17 @@
 
 @pytest.mark.parametrize("change", [("host", "s9"), ("partition", "7")])
 def test_reports_of_the_unknown_do_no_harm(change):
-    assigner, hub = front()
-    told(quiet(assigner))
+    assigner, hub = make_assigner()
+    take_pending_events(suspend_reconciliation(assigner))
     connection = connect_client(assigner)
     parts = list(LOAD if change[0] == "host" else SHARD)
     parts[parts.index(change[0]) + 1] = change[1]
     feed(connection, encode("SOURCE", "az", "a") + encode(*parts))
-    assert told(assigner) == [] and not connection.over and hub.counters["reports_unknown"] == 1
+    assert (
+        take_pending_events(assigner) == []
+        and not connection.over
+        and hub.counters["reports_unknown"] == 1
+    )
 
 
 @pytest.mark.parametrize(
@@ -108,12 +119,12 @@
 )
 def test_a_malformed_message_costs_neither_its_collector_nor_its_neighbours(malformed):
     # One bad report reset its collector: what all of its zone met was missing until it came again.
-    assigner, hub = front()
-    quiet(assigner).registry.slice(4)
-    told(assigner)
+    assigner, hub = make_assigner()
+    suspend_reconciliation(assigner).registry.slice(4)
+    take_pending_events(assigner)
     connection = connect_client(assigner)
     feed(connection, encode("SOURCE", "az", "a") + encode(*LOAD) + malformed + encode(*SHARD))
-    assert [type(e).__name__ for e in told(assigner)] == [
+    assert [type(e).__name__ for e in take_pending_events(assigner)] == [
         "ServerLoadReport",
         "SliceLoadReport",
     ] and not connection.over
@@ -140,19 +151,19 @@
     ],
 )
 def test_an_unidentified_client_that_sends_something_else_is_rejected_at_once(sends):
-    assigner, hub = front()
-    told(quiet(assigner))
+    assigner, hub = make_assigner()
+    take_pending_events(suspend_reconciliation(assigner))
     stranger, good = connect_client(assigner), connect_client(assigner)
     feed(good, encode("SOURCE", "az", "a"))
     feed(stranger, sends + encode("SOURCE", "az", "a"))
-    assert stranger.over and not good.over and told(assigner) == []
+    assert stranger.over and not good.over and take_pending_events(assigner) == []
     assert stranger.transport.written in (b"", encode("NACK"))
 
 
 @pytest.mark.parametrize("sends", [b"", b"*3\r\n$4\r\nLO", encode("PING") * 3])
 def test_a_client_that_never_identifies_itself_is_closed_even_if_it_pings(sends):
-    assigner, hub = front()
-    stranger = connect_client(quiet(assigner))
+    assigner, hub = make_assigner()
+    stranger = connect_client(suspend_reconciliation(assigner))
     feed(stranger, sends)
     for _ in range(15):
         hub.pass_time(100)
@@ -162,8 +173,8 @@
 
 
 def test_a_half_open_collector_gives_up_its_place():
-    assigner, hub = front()
-    half, good = connect_client(quiet(assigner)), connect_client(assigner)
+    assigner, hub = make_assigner()
+    half, good = connect_client(suspend_reconciliation(assigner)), connect_client(assigner)
     for connection in (half, good):
         feed(connection, encode("SOURCE", "az", "a"))
     for _ in range(60):
@@ -173,8 +184,8 @@
 
 
 def test_unidentified_clients_are_closed_and_never_keep_collectors_out():
-    assigner, hub = front(callers=3, slots=4)
-    collector = connect_client(quiet(assigner))
+    assigner, hub = make_assigner(callers=3, slots=4)
+    collector = connect_client(suspend_reconciliation(assigner))
     feed(collector, encode("SOURCE", "az", "a"))
     strangers = [connect_client(assigner) for _ in range(5)]
     late = connect_client(assigner)
@@ -186,7 +197,7 @@
 
 def test_many_unidentified_clients_at_once_are_kept_within_the_limit():
     # The loop accepts a whole backlog before the first of them is up: all were let in.
-    assigner, hub = front(callers=8, slots=100)
+    assigner, hub = make_assigner(callers=8, slots=100)
     made = [assigner.collectors.accept() for _ in range(50)]
     for connection in made:
         connection.connection_made(StubTransport())
@@ -196,9 +207,9 @@
 
 
 def test_a_collector_may_send_longer_messages_than_an_unidentified_client():
-    assigner, hub = front()
-    told(quiet(assigner))
+    assigner, hub = make_assigner()
+    take_pending_events(suspend_reconciliation(assigner))
     collector = connect_client(assigner)
     padding = "x" * (2 * hub.limits.stranger_message)
     feed(collector, encode("SOURCE", "az", "a") + encode(*LOAD, "padding", padding))
-    assert len(told(assigner, core.ServerLoadReport)) == 1 and not collector.over
+    assert len(take_pending_events(assigner, core.ServerLoadReport)) == 1 and not collector.over
--- a/tests/net/test_crossing_callers.py
+++ b/tests/net/test_crossing_callers.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from helpers import listed
+from helpers import listed_server
 from world import CHUNKED, Place, chunk, head, resp
 
 SOURCE = resp("SOURCE", "az", "a")
@@ -104,7 +104,7 @@
                 pass
         except BlockingIOError:
             pass
-        watches[0].send(chunk({"rev": rev, "all": False, "targets": [listed("s1")]}))
+        watches[0].send(chunk({"rev": rev, "all": False, "targets": [listed_server("s1")]}))
         assert world.logged("endpoint_list", version=rev) and world.pong(asker)
 
 
@@ -117,7 +117,7 @@
     def __init__(self, world):
         self.place = Place(lambda peer: peer.until(b"\r\n\r\n").split(b" ")[1].decode())
         world.places.append(self.place)
-        self.entry = listed("s1", endpoint=self.place.address)
+        self.entry = listed_server("s1", endpoint=self.place.address)
 
     def next(self):
         return self.place.next("/health/live")
--- a/tests/net/test_crossing_discovery.py
+++ b/tests/net/test_crossing_discovery.py
@@ -5,7 +5,7 @@
 
 import orjson
 import pytest
-from helpers import GRANT, ROW, listed
+from helpers import SLICE_ASSIGNED, TABLE_ENTRY, listed_server
 from world import CHUNKED, PATIENCE, chunk, head, subscribe
 
 END = b"0\r\n\r\n"
@@ -25,8 +25,8 @@
         CHUNKED,
         CHUNKED + b"3",
         CHUNKED + chunk(b"\n"),
-        CHUNKED + chunk(change(2, listed("s1"))),
-        CHUNKED + b"%x\r\n%s" % (200, body(change(3, listed("s2", "terminating")))[:60]),
+        CHUNKED + chunk(change(2, listed_server("s1"))),
+        CHUNKED + b"%x\r\n%s" % (200, body(change(3, listed_server("s2", "terminating")))[:60]),
     ],
     ids=["headers", "a chunk's size", "an empty line", "a chunk", "half an object"],
 )
@@ -39,7 +39,7 @@
     again = world.discovery.next(
         "watch"
     )  # within the silence; the other goes silent too, it was asked a little later
-    again.send(CHUNKED, chunk(change(9, listed("s2", "terminating"))))
+    again.send(CHUNKED, chunk(change(9, listed_server("s2", "terminating"))))
     assert world.logged("endpoint_list", version=9) and world.pong()
     assert stopped.ended()
 
@@ -76,7 +76,7 @@
     for rev in range(
         2, 14
     ):  # two at a time: with the pause of 300 ms after each it would take 1.5 s
-        world.discovery.next("watch").send(CHUNKED, chunk(change(rev, listed("s1"))), END)
+        world.discovery.next("watch").send(CHUNKED, chunk(change(rev, listed_server("s1"))), END)
         assert world.logged("endpoint_list", version=rev)
     assert time.monotonic() - began < 1.0
 
@@ -109,7 +109,7 @@
     assert world.logged("endpoint_list", version=5)["scope"] == "complete"
 
 
-WHOLE = body({"rev": 7, "all": True, "targets": [listed("s1"), listed("s2")]})
+WHOLE = body({"rev": 7, "all": True, "targets": [listed_server("s1"), listed_server("s2")]})
 FORMS = {
     "length": lambda told, cut: head(f"Content-Length: {len(told)}") + told[:cut],
     "chunked": lambda told, cut: CHUNKED + (b"%x\r\n" % len(told) + told + b"\r\n" + END)[:cut],
@@ -160,10 +160,10 @@
 def test_an_older_version_after_a_newer_one_brings_nobody_back(world):
     world.start()
     one, other = world.listed("s1", "s2")
-    one.send(chunk(change(4, listed("s2", "terminating"))))
+    one.send(chunk(change(4, listed_server("s2", "terminating"))))
     assert world.logged("endpoint_list", version=4)
-    other.send(chunk(change(3, listed("s2"))))
-    other.send(chunk(change(5, listed("s1"))))
+    other.send(chunk(change(3, listed_server("s2"))))
+    other.send(chunk(change(5, listed_server("s1"))))
     assert world.logged("endpoint_list", version=5)
     assert world.counters()["list_already_known"] == 1
 
@@ -173,9 +173,9 @@
     world.start()
     one, _ = world.listed("s1", "s2", "s3")
     world.logged("endpoint_list")
-    world.stands(subscribe(1), GRANT, ROW)
+    world.stands(subscribe(1), SLICE_ASSIGNED, TABLE_ENTRY)
     world.relay.next("call")
-    told = body(change(2, listed("s1", "terminating"), listed("s9", boot_ms=1)))
+    told = body(change(2, listed_server("s1", "terminating"), listed_server("s9", boot_ms=1)))
     # The line is whole, what the chunk's end would add does not come.
     one.send(b"%x\r\n%s%s" % (len(told), told, b"\r\n" if end == "chunk" else b""))
     if end == "reset":
@@ -191,7 +191,7 @@
 def test_an_older_whole_list_beside_watches_that_stand_brings_nobody_back(world):
     world.start()
     watches = world.listed("s1", "s2")
-    watches[0].send(chunk(change(4, listed("s2", "terminating"))))
+    watches[0].send(chunk(change(4, listed_server("s2", "terminating"))))
     assert world.logged("endpoint_list", version=4)
     check = looked_at(world, watches)  # answered by what is behind
     check.send(CHUNKED, chunk(world.listing("s1", "s2", rev=2)), END)
@@ -201,7 +201,7 @@
 
 def test_a_list_of_thousands_with_spoilt_and_repeated_entries_is_taken_as_far_as_it_is_sound(world):
     world.start()
-    told = {"rev": 3, "all": True, "targets": [listed(f"s{k}") for k in range(2000)]}
+    told = {"rev": 3, "all": True, "targets": [listed_server(f"s{k}") for k in range(2000)]}
     told["targets"][5] = {"uid": 5}
     told["targets"].append(told["targets"][7])
     world.discovery.next("whole").send(FORMS["length"](body(told), None))
--- a/tests/net/test_crossing_relay.py
+++ b/tests/net/test_crossing_relay.py
@@ -8,7 +8,7 @@
 from contextlib import contextmanager
 
 import pytest
-from helpers import SETTINGS, listed
+from helpers import SETTINGS, listed_server
 from world import PATIENCE, accepted, chunk, news, subscribe
 
 QUIET = SETTINGS | {"limits": {"probes": False}}
@@ -70,7 +70,7 @@
 
     def drains(self, server):
         self.rev += 1
-        told = {"rev": self.rev, "all": False, "targets": [listed(server, "terminating")]}
+        told = {"rev": self.rev, "all": False, "targets": [listed_server(server, "terminating")]}
         for watch in self.watches:
             watch.send(chunk(told))
 
--- a/tests/net/test_crossing_start.py
+++ b/tests/net/test_crossing_start.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import GRANT, ROW
+from helpers import SLICE_ASSIGNED, TABLE_ENTRY
 from world import CHUNKED, PATIENCE, Place, accepted, asked, called, chunk, head, resp, subscribe
 
 ROOT = Path(__file__).parents[2]
@@ -236,7 +236,7 @@
     answered."""
     world.start()
     world.listed("s1", "s2", "s3")
-    streams = world.stands(subscribe(1), GRANT, ROW)
+    streams = world.stands(subscribe(1), SLICE_ASSIGNED, TABLE_ENTRY)
     return world.relay.next("call"), streams
 
 
@@ -290,7 +290,9 @@
     world.process.send_signal(signal.SIGHUP)
     stream = moved.next("watch")
     old.send(accepted(old, old.call))
-    stream.send({"id": stream.call["id"], "result": True}, subscribe(1), GRANT, ROW)
+    stream.send(
+        {"id": stream.call["id"], "result": True}, subscribe(1), SLICE_ASSIGNED, TABLE_ENTRY
+    )
     # The mark of the call is not answered: it is asked for again, and by the new address.
     assert moved.next("call").call["params"]["orders"]
     assert old.ended() and world.pong()
@@ -306,7 +308,9 @@
     world.process.send_signal(signal.SIGHUP)
     for _ in range(3):  # news on two connections, and the look at what stands
         stream = moved.next("watch")
-        stream.send({"id": stream.call["id"], "result": True}, subscribe(1), GRANT, ROW)
+        stream.send(
+            {"id": stream.call["id"], "result": True}, subscribe(1), SLICE_ASSIGNED, TABLE_ENTRY
+        )
     assert world.logged("call_compared")["matching"] == 0
     again = moved.next("call")
     assert again.call["params"]["orders"][0]["op"] in ("SET", "LIMIT") and world.pong()
@@ -355,14 +359,16 @@
 
 def test_relay_and_discovery_move_together(world):
     world.start()
-    old = world.listed("s1", "s2", "s3") + world.stands(subscribe(1), GRANT, ROW)
+    old = world.listed("s1", "s2", "s3") + world.stands(subscribe(1), SLICE_ASSIGNED, TABLE_ENTRY)
     world.logged("watch_synchronised")
     discovery, relay = Place(asked), Place(called)
     world.places += [discovery, relay]
     world.write(discovery=discovery.address, distributor={"address": relay.address})
     world.process.send_signal(signal.SIGHUP)
     stream = relay.next("watch")
-    stream.send({"id": stream.call["id"], "result": True}, subscribe(1), GRANT, ROW)
+    stream.send(
+        {"id": stream.call["id"], "result": True}, subscribe(1), SLICE_ASSIGNED, TABLE_ENTRY
+    )
     discovery.next("watch").send(CHUNKED, chunk(world.listing("s1", "s2", "s3", rev=5)))
     assert world.logged("endpoint_list")["version"] == 5 and world.pong()
     assert all(peer.ended() for peer in old)  # once the new ones stand, and not for their silence
--- a/tests/net/test_event_loop.py
+++ b/tests/net/test_event_loop.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from helpers import connect_client, feed, front, quiet, weight_order
+from helpers import connect_client, feed, make_assigner, suspend_reconciliation, weight_order
 
 from havendyke.config import Limits
 from havendyke.net.connection import Connection
@@ -36,16 +36,16 @@
 
 
 def test_a_message_over_the_limit_ends_its_connection_only():
-    assigner, hub = front(message=4096, buffer=64)
-    bad, good = connect_client(quiet(assigner)), connect_client(assigner)
+    assigner, hub = make_assigner(message=4096, buffer=64)
+    bad, good = connect_client(suspend_reconciliation(assigner)), connect_client(assigner)
     feed(bad, b"*2\r\n$3000\r\n" + b"x" * 3000 + b"\r\n$2000\r\n" + b"x" * 2000)
     feed(good, encode("PING"))
     assert bad.over and good.transport.written and hub.counters["bad_messages"] == 1
 
 
 def test_a_full_table_turns_newcomers_away():
-    assigner, hub = front(slots=1)
-    connect_client(quiet(assigner))
+    assigner, hub = make_assigner(slots=1)
+    connect_client(suspend_reconciliation(assigner))
     late = connect_client(assigner)
     assert late.over and hub.counters["slots_full"] == 1 and len(hub.slots) == 1
     assigner.relay.order([weight_order(1, "s1")])
--- a/tests/net/test_fleet_summary.py
+++ b/tests/net/test_fleet_summary.py
@@ -1,13 +1,13 @@
 """What the log says of the fleet as the controller sees it."""
 
-from controller_scene import ControllerScene
+from controller_harness import ControllerHarness
 
 from havendyke.lab.hub import LabHub
 from havendyke.net.fleet_summary import FleetSummary
 
 
 def test_the_log_counts_slices_by_their_primarys_health_and_migrations_by_their_sources():
-    scene, fields, hub = ControllerScene(), {}, LabHub()
+    scene, fields, hub = ControllerHarness(), {}, LabHub()
     hub.log = lambda event, **values: fields.update(values)
     summary = FleetSummary(hub, scene.controller)
     (healthy,) = scene.add_servers(1)
--- a/tests/net/test_health_checks.py
+++ b/tests/net/test_health_checks.py
@@ -1,7 +1,7 @@
 """Health checks: each outcome, the limit on how many are in flight, addresses."""
 
 import pytest
-from helpers import StubTransport, feed, front, quiet, told
+from helpers import StubTransport, feed, make_assigner, suspend_reconciliation, take_pending_events
 
 from havendyke import interface as core
 
@@ -52,13 +52,13 @@
 
 @pytest.mark.parametrize("case", ENDINGS)
 def test_each_end_of_a_health_check_has_its_outcome(case):
-    assigner, hub = front()
-    told(quiet(assigner))
+    assigner, hub = make_assigner()
+    take_pending_events(suspend_reconciliation(assigner))
     assigner.health_checker.check(assigner.registry.servers["s1"])
     connection = hub.open("health_checks", up=False)
     outcome, act = ENDINGS[case]
     act(connection, hub)
-    (event,) = told(assigner)
+    (event,) = take_pending_events(assigner)
     assert (event.outcome, connection.over, assigner.health_checker.in_flight) == (outcome, True, 0)
     assert event.load == (
         core.ServerLoad(in_flight=7.0)
@@ -70,7 +70,7 @@
 def test_a_check_beyond_the_limit_waits_for_another_to_end():
     # 200 servers were asked at one look with room for 64: the rest was never answered, nor asked
     # again for 2 s.
-    assigner, hub = front(probes_open=2)
+    assigner, hub = make_assigner(probes_open=2)
     for name in ("s1", "s2", "s3", "s3"):
         assigner.health_checker.check(assigner.registry.servers[name])
     assert assigner.health_checker.in_flight == 2 and len(hub.made) == 2
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("end", ["", "host.example:80", "127.0.0.1", "127.0.0.1:99999", "[::1]:x"])
 def test_a_server_without_a_usable_address_is_not_checked(end):
-    assigner, hub = front()
+    assigner, hub = make_assigner()
     server = assigner.registry.servers["s1"]
     assigner.messages.endpoint_list.endpoints[server] = end
     assigner.health_checker.check(server)
--- a/tests/net/test_list_checks.py
+++ b/tests/net/test_list_checks.py
@@ -7,7 +7,7 @@
 import orjson
 import pytest
 from helpers import feed as feed_bytes
-from helpers import front, listed, quiet, told
+from helpers import listed_server, make_assigner, suspend_reconciliation, take_pending_events
 from world import CHUNKED, PATIENCE, chunk, head
 
 from havendyke import interface as core
@@ -25,19 +25,19 @@
 
 
 def drain(rev, name="s1"):
-    return chunk(changes(rev, listed(name, "terminating")))
+    return chunk(changes(rev, listed_server(name, "terminating")))
 
 
 class Registry:
     """Discovery's side of a hub's connections, moved by the test."""
 
     def __init__(self, tasks, **limits):
-        self.assigner, self.hub = front(**limits)
-        self.discovery = quiet(self.assigner).discovery
+        self.assigner, self.hub = make_assigner(**limits)
+        self.discovery = suspend_reconciliation(self.assigner).discovery
         self.discovery.start()
         self.answer_whole(tasks)
         self.grant_watches()
-        told(self.assigner)
+        take_pending_events(self.assigner)
 
     def connections(self) -> list:
         made = self.hub.standing("discovery")
@@ -60,7 +60,9 @@
                 feed_bytes(watch, CHUNKED + EMPTY)
 
     def answer_whole(self, tasks, rev=1):
-        body = orjson.dumps(changes(rev, *(listed(f"s{k}") for k in range(tasks)), whole=True))
+        body = orjson.dumps(
+            changes(rev, *(listed_server(f"s{k}") for k in range(tasks)), whole=True)
+        )
         (connection,) = self.wholes()
         feed_bytes(connection, head(f"Content-Length: {len(body)}") + body)
 
@@ -81,7 +83,10 @@
         return check
 
     def events(self) -> list:
-        return [(e.scope, len(e.entries)) for e in told(self.assigner, core.EndpointListUpdate)]
+        return [
+            (e.scope, len(e.entries))
+            for e in take_pending_events(self.assigner, core.EndpointListUpdate)
+        ]
 
     def count(self, name) -> int:
         return self.hub.counters.get(name, 0)
@@ -101,14 +106,16 @@
 
 def test_a_large_list_is_checked_by_version_and_an_empty_line_ends_the_check():
     registry = Registry(LARGE)
-    feed_bytes(registry.watches()[0], chunk(changes(5, listed("s3"))))
+    feed_bytes(registry.watches()[0], chunk(changes(5, listed_server("s3"))))
     registry.events()
     for _ in range(4):
         check = registry.check()
         assert b"/registry/instances?follow=1&since=5 " in check.transport.written
         feed_bytes(
             check,
-            CHUNKED + chunk(b"\n" + orjson.dumps(changes(9, listed("s1"))) + b"\n") + drain(9),
+            CHUNKED
+            + chunk(b"\n" + orjson.dumps(changes(9, listed_server("s1"))) + b"\n")
+            + drain(9),
         )
         assert check.over and registry.events() == []
     assert not registry.wholes() and registry.count("closed_discovery_done") == 5
@@ -129,7 +136,7 @@
         registry.pass_time(150, step=50)
         registry.answer_whole(LARGE, rev=rev)
         assert registry.logged("watches_stale") == logged
-        feed_bytes(registry.watches()[0], chunk(changes(rev + 1, listed("s5"))))
+        feed_bytes(registry.watches()[0], chunk(changes(rev + 1, listed_server("s5"))))
 
 
 @pytest.mark.parametrize("check_first", [True, False])
@@ -156,11 +163,12 @@
 
 def test_a_whole_list_in_place_of_changes_is_taken_only_at_a_higher_version():
     registry = Registry(LARGE)
-    feed_bytes(registry.watches()[0], chunk(changes(5, listed("s3"))))
+    feed_bytes(registry.watches()[0], chunk(changes(5, listed_server("s3"))))
     registry.events()
     for rev, events in ((4, []), (5, []), (6, [("complete", 2)])):
         feed_bytes(
-            registry.check(), CHUNKED + chunk(changes(rev, listed("s1"), listed("s2"), whole=True))
+            registry.check(),
+            CHUNKED + chunk(changes(rev, listed_server("s1"), listed_server("s2"), whole=True)),
         )
         assert registry.events() == events
     assert registry.discovery.version == 6
@@ -168,7 +176,7 @@
 
 def test_changes_since_a_version_that_discovery_has_gone_back_from_are_left():
     registry = Registry(LARGE)
-    feed_bytes(registry.watches()[0], chunk(changes(50, listed("s3"))))
+    feed_bytes(registry.watches()[0], chunk(changes(50, listed_server("s3"))))
     check = registry.check()
     for watch in registry.watches():
         watch.close("reset")
@@ -181,7 +189,7 @@
 
 def test_after_a_new_start_at_lower_versions_held_back_news_are_seen():
     registry = Registry(LARGE)
-    feed_bytes(registry.watches()[0], chunk(changes(50, listed("s3"))))
+    feed_bytes(registry.watches()[0], chunk(changes(50, listed_server("s3"))))
     for watch in registry.watches():
         watch.close("reset")
     registry.hub.pass_time(400)
@@ -243,7 +251,12 @@
     registry = Registry(LARGE)
     registry.discovery.check_complete_list()
     spoilt = orjson.dumps(
-        changes(2, listed("s1", "odd"), *(listed(f"s{k}") for k in range(2, LARGE)), whole=True)
+        changes(
+            2,
+            listed_server("s1", "odd"),
+            *(listed_server(f"s{k}") for k in range(2, LARGE)),
+            whole=True,
+        )
     )
     for _ in range(2):
         (connection,) = registry.wholes()
--- a/tests/net/test_relay_client.py
+++ b/tests/net/test_relay_client.py
@@ -2,19 +2,19 @@
 
 import pytest
 from helpers import (
-    ACK,
-    GRANT,
-    ROW,
-    SUB,
-    TRUE,
+    PROXY_CONNECTED,
+    PUSH_ACKNOWLEDGED,
+    SLICE_ASSIGNED,
+    SUCCESS_REPLY,
+    TABLE_ENTRY,
     feed,
-    front,
-    quiet,
-    sent,
+    make_assigner,
+    open_watch_stream,
+    sent_orders,
     snapshot_stream,
-    standing,
+    suspend_reconciliation,
     table_entry,
-    told,
+    take_pending_events,
     weight_order,
 )
 
@@ -34,73 +34,75 @@
 
 @pytest.mark.parametrize("taken, left, refused", [(2, [], 0), (0, ["s2"], 1), (1, [], 1)])
 def test_only_the_order_that_the_relay_cannot_use_is_left_out(taken, left, refused):
-    assigner, hub = front()
-    call = start_call(hub, quiet(assigner), weight_order(1, "s1"), weight_order(1, "s2"))
-    feed(call, [{"id": sent(call)[1], "result": {"taken": taken}}])
-    assert [o["host"] for o in sent(call)[0][-1]] == (left or ["s1", "s2"])
-    assert len(sent(call)[0]) == 1 + bool(left)
+    assigner, hub = make_assigner()
+    call = start_call(
+        hub, suspend_reconciliation(assigner), weight_order(1, "s1"), weight_order(1, "s2")
+    )
+    feed(call, [{"id": sent_orders(call)[1], "result": {"taken": taken}}])
+    assert [o["host"] for o in sent_orders(call)[0][-1]] == (left or ["s1", "s2"])
+    assert len(sent_orders(call)[0]) == 1 + bool(left)
     assert hub.counters.get("relay_partial", 0) == refused
 
 
 def test_a_weight_that_the_relay_cannot_use_is_not_taken_for_published():
-    assigner, hub = front()
-    standing(quiet(assigner), hub, GRANT, ROW)
-    told(assigner)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
+    take_pending_events(assigner)
     call = start_call(
         hub, assigner, weight_order(4, "s2"), weight_order(4, "s1", 0.0), weight_order(5, "s1")
     )
-    feed(call, [{"id": sent(call)[1], "result": {"taken": 0}}])
-    assert [(type(e).__name__, e.slice.id) for e in told(assigner)] == [
+    feed(call, [{"id": sent_orders(call)[1], "result": {"taken": 0}}])
+    assert [(type(e).__name__, e.slice.id) for e in take_pending_events(assigner)] == [
         ("SliceAssignment", 4),
         ("SnapshotEntry", 4),
     ]
-    assert [o["table"] for o in sent(call)[0][-1]] == [5]
+    assert [o["table"] for o in sent_orders(call)[0][-1]] == [5]
 
 
 def test_rejected_calls_wait_and_the_controller_is_notified_once():
-    assigner, hub = front(again_most=50.0)
-    call = start_call(hub, quiet(assigner), weight_order(1, "s1"))
+    assigner, hub = make_assigner(again_most=50.0)
+    call = start_call(hub, suspend_reconciliation(assigner), weight_order(1, "s1"))
     for _ in range(3):
-        feed(call, [{"id": sent(call)[1], "error": {"code": -1, "message": "BUSY"}}])
+        feed(call, [{"id": sent_orders(call)[1], "error": {"code": -1, "message": "BUSY"}}])
         hub.pass_time(60)
-    assert [len(o) for o in sent(call)[0]] == [1] * 4
-    assert told(assigner, core.PushChannelStatus) == [core.PushChannelStatus(False)]
-    feed(call, [{"id": sent(call)[1], "result": {"taken": 1}}])
+    assert [len(o) for o in sent_orders(call)[0]] == [1] * 4
+    assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(False)]
+    feed(call, [{"id": sent_orders(call)[1], "result": {"taken": 1}}])
     hub.pass_time(60)
-    assert told(assigner, core.PushChannelStatus) == [core.PushChannelStatus(True)]
+    assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(True)]
 
 
 def test_after_a_start_the_channel_opens_once_connecting_proxies_are_counted():
-    assigner, hub = front()
-    quiet(assigner).relay.start()
-    feed(hub.open("relay_watch"), [TRUE, GRANT, ROW])
+    assigner, hub = make_assigner()
+    suspend_reconciliation(assigner).relay.start()
+    feed(hub.open("relay_watch"), [SUCCESS_REPLY, SLICE_ASSIGNED, TABLE_ENTRY])
     hub.pass_time(1000)
-    assert told(assigner, core.PushChannelStatus) == [core.PushChannelStatus(False)]
+    assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(False)]
     for proxy in range(1, 6):
         feed(
             hub.open("relay_watch"),
-            [{"method": "SUBSCRIBE", "params": SUB["params"] | {"sidecar": proxy}}],
+            [{"method": "SUBSCRIBE", "params": PROXY_CONNECTED["params"] | {"sidecar": proxy}}],
         )
-        assert told(assigner, core.PushChannelStatus) == []
+        assert take_pending_events(assigner, core.PushChannelStatus) == []
         hub.pass_time(40)
     hub.pass_time(200)
-    assert told(assigner, core.PushChannelStatus) == [core.PushChannelStatus(True)]
+    assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(True)]
 
 
 @pytest.mark.parametrize("why", ["BUSY", "refused"])
 def test_orders_from_before_an_interruption_are_planned_anew(why):
     # Published once more proxies have connected, they would overfill the channel.
-    assigner, hub = front()
-    standing(quiet(assigner), hub, GRANT, ROW)
-    told(assigner)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
+    take_pending_events(assigner)
     mark = AcknowledgementOrder(1, all_proxies=False)
     assigner.relay.order([weight_order(4, "s2"), weight_order(4, "s1", 0.0), mark])
     if why == "BUSY":
         call = hub.open("relay")
-        feed(call, [{"id": sent(call)[1], "error": {"message": why}}])
+        feed(call, [{"id": sent_orders(call)[1], "error": {"message": why}}])
     else:
         hub.open("relay", up=False).close(why)
-    events = told(assigner)
+    events = take_pending_events(assigner)
     assert [type(e).__name__ for e in events] == [
         "PushChannelStatus",
         "SliceAssignment",
@@ -111,18 +113,20 @@
     assert assigner.relay.watch.slices.tables[4] == {"s1": 1.0}
     hub.pass_time(60)
     again = hub.open("relay")
-    feed(again, [{"id": sent(again)[1], "result": {"taken": 1}}])
-    assert told(assigner, core.PushChannelStatus) == []
+    feed(again, [{"id": sent_orders(again)[1], "result": {"taken": 1}}])
+    assert take_pending_events(assigner, core.PushChannelStatus) == []
     hub.pass_time(60)
-    assert told(assigner, core.PushChannelStatus) == [core.PushChannelStatus(True)]
+    assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(True)]
 
 
 def test_an_unreadable_order_is_found_by_halving_and_left_out():
-    assigner, hub = front(again_most=50.0)
-    call = start_call(hub, quiet(assigner), *[weight_order(k, "s1") for k in range(4)])
+    assigner, hub = make_assigner(again_most=50.0)
+    call = start_call(
+        hub, suspend_reconciliation(assigner), *[weight_order(k, "s1") for k in range(4)]
+    )
     taken = []
     while assigner.relay.call:
-        orders, number = sent(call)
+        orders, number = sent_orders(call)
         bad = any(o["table"] == 2 for o in orders[-1])
         taken += [] if bad else [o["table"] for o in orders[-1]]
         feed(
@@ -139,12 +143,12 @@
 
 def test_a_single_weight_that_the_relay_cannot_read_is_not_taken_for_published():
     # The controller believed in an entry that no proxy had, for good.
-    assigner, hub = front()
-    standing(quiet(assigner), hub, GRANT, ROW)
-    told(assigner)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
+    take_pending_events(assigner)
     call = start_call(hub, assigner, weight_order(4, "s2"))
-    feed(call, [{"id": sent(call)[1], "error": {"message": "SYNTAX"}}])
-    reported = told(assigner, core.SliceAssignment, core.SnapshotEntry)
+    feed(call, [{"id": sent_orders(call)[1], "error": {"message": "SYNTAX"}}])
+    reported = take_pending_events(assigner, core.SliceAssignment, core.SnapshotEntry)
     assert [(type(e).__name__, e.slice.id) for e in reported] == [
         ("SliceAssignment", 4),
         ("SnapshotEntry", 4),
@@ -164,8 +168,8 @@
 @pytest.mark.parametrize("carried", [True, False])
 def test_a_snapshot_resolves_a_call_with_unknown_outcome(ending, carried):
     # Repeated blindly, the orders could overfill the channel; dropped, they would be lost for good.
-    assigner, hub = front()
-    standing(quiet(assigner), hub, GRANT, ROW)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
     call = start_call(
         hub,
         assigner,
@@ -181,84 +185,99 @@
         "params": {"partition": 4, "host": "s2" if carried else "s1", "share": 1.0},
     }
     snapshot = snapshot_stream(hub)
-    feed(snapshot, [TRUE, GRANT, row])
+    feed(snapshot, [SUCCESS_REPLY, SLICE_ASSIGNED, row])
     hub.pass_time(100)
     again = hub.open("relay")
-    assert [o.get("host") for o in sent(again)[0][-1]] == (
+    assert [o.get("host") for o in sent_orders(again)[0][-1]] == (
         ["s3"] if carried else ["s2", "s1", None, "s3"]
     )
     assert snapshot.over and not assigner.relay.unresolved.is_pending
-    feed(again, [{"id": sent(again)[1], "result": {"taken": len(sent(again)[0][-1])}}])
-    assert [e.connected for e in told(assigner, core.PushChannelStatus)] == [False, True]
+    feed(
+        again, [{"id": sent_orders(again)[1], "result": {"taken": len(sent_orders(again)[0][-1])}}]
+    )
+    assert [e.connected for e in take_pending_events(assigner, core.PushChannelStatus)] == [
+        False,
+        True,
+    ]
 
 
 def test_an_acknowledgement_proves_that_its_call_was_carried_out():
-    assigner, hub = front()
-    standing(quiet(assigner), hub, SUB)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub, PROXY_CONNECTED)
     mark = AcknowledgementOrder(7, all_proxies=True)
     start_call(hub, assigner, EjectionOrder("s1", ejected=True), mark).close("reset")
     hub.pass_time(200)
-    feed(hub.open("relay_watch"), [ACK])
+    feed(hub.open("relay_watch"), [PUSH_ACKNOWLEDGED])
     relay = assigner.relay
     assert not relay.unresolved.is_pending and relay.queue.orders == []
     assert relay.channel.is_available
 
 
 def test_newer_orders_take_along_those_that_wait_to_be_repeated():
-    assigner, hub = front()
+    assigner, hub = make_assigner()
     out = EjectionOrder("s1", ejected=True)
-    start_call(hub, quiet(assigner), out).close("reset")
+    start_call(hub, suspend_reconciliation(assigner), out).close("reset")
     hub.pass_time(110)
     assigner.relay.order([weight_order(1, "s2")])
-    assert [o["op"] for o in sent(hub.open("relay"))[0][0]] == ["OUT", "SET"]
-    assert told(assigner, core.PushChannelStatus) == []
+    assert [o["op"] for o in sent_orders(hub.open("relay"))[0][0]] == ["OUT", "SET"]
+    assert take_pending_events(assigner, core.PushChannelStatus) == []
 
 
 def test_the_channel_opens_once_no_order_waits():
     # With no order left no call would ever show that the relay is back.
-    assigner, hub = front()
-    standing(quiet(assigner), hub, GRANT, ROW)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
     start_call(hub, assigner, weight_order(4, "s2")).close("reset")
     hub.pass_time(110)
     feed(
         snapshot_stream(hub),
-        [TRUE, GRANT, ROW, {"method": "ROW", "params": {"partition": 4, "host": "s2", "share": 1}}],
+        [
+            SUCCESS_REPLY,
+            SLICE_ASSIGNED,
+            TABLE_ENTRY,
+            {"method": "ROW", "params": {"partition": 4, "host": "s2", "share": 1}},
+        ],
     )
     hub.pass_time(100)
-    assert [e.connected for e in told(assigner, core.PushChannelStatus)] == [False, True]
+    assert [e.connected for e in take_pending_events(assigner, core.PushChannelStatus)] == [
+        False,
+        True,
+    ]
 
 
 @pytest.mark.parametrize(
     "shown, carried", [([("s1", 0.0), ("s2", 0.0)], True), ([("s1", 0.02)], False)]
 )
 def test_a_snapshot_resolves_calls_about_rounded_weights(shown, carried):
-    assigner, hub = front()
-    standing(quiet(assigner), hub, GRANT, table_entry("s1", 0.02))
+    assigner, hub = make_assigner()
+    open_watch_stream(
+        suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, table_entry("s1", 0.02)
+    )
     start_call(hub, assigner, weight_order(4, "s1", 0.0004), weight_order(4, "s2", 8e-6)).close(
         "reset"
     )
     hub.pass_time(110)
-    feed(snapshot_stream(hub), [TRUE, GRANT] + [table_entry(*r) for r in shown])
+    feed(snapshot_stream(hub), [SUCCESS_REPLY, SLICE_ASSIGNED] + [table_entry(*r) for r in shown])
     hub.pass_time(100)
     assert hub.counters.get("relay_found_carried_out", 0) == carried
-    told(assigner)
-    standing(assigner, hub, GRANT, *[table_entry(*r) for r in shown])
-    assert told(assigner, core.SnapshotEntry) == [] and assigner.relay.watch.slices.tables[4][
-        "s1"
-    ] == (0.0004 if carried else 0.02)
+    take_pending_events(assigner)
+    open_watch_stream(assigner, hub, SLICE_ASSIGNED, *[table_entry(*r) for r in shown])
+    assert take_pending_events(
+        assigner, core.SnapshotEntry
+    ) == [] and assigner.relay.watch.slices.tables[4]["s1"] == (0.0004 if carried else 0.02)
 
 
 def test_a_call_with_unknown_outcome_that_changes_no_table_is_repeated():
-    assigner, hub = front()
+    assigner, hub = make_assigner()
     out = EjectionOrder("s1", ejected=True)
-    start_call(hub, quiet(assigner), out).close("reset")
+    start_call(hub, suspend_reconciliation(assigner), out).close("reset")
     hub.pass_time(810)
-    assert sent(hub.open("relay"))[0] == [[{"op": "OUT", "host": "s1"}]]
+    assert sent_orders(hub.open("relay"))[0] == [[{"op": "OUT", "host": "s1"}]]
 
 
 def test_newer_orders_replace_older_ones_that_wait():
-    assigner, hub = front()
-    relay = quiet(assigner).relay
+    assigner, hub = make_assigner()
+    relay = suspend_reconciliation(assigner).relay
     relay.order(
         [
             weight_order(1, "s1"),
@@ -289,24 +308,26 @@
 
 
 def test_orders_beyond_the_limit_of_a_call_follow_in_order():
-    assigner, hub = front(call_bytes=100)
-    call = start_call(hub, quiet(assigner), *[weight_order(k, "s1") for k in range(8)])
+    assigner, hub = make_assigner(call_bytes=100)
+    call = start_call(
+        hub, suspend_reconciliation(assigner), *[weight_order(k, "s1") for k in range(8)]
+    )
     while assigner.relay.call:
-        orders, number = sent(call)
+        orders, number = sent_orders(call)
         feed(call, [{"id": number, "result": {"taken": len(orders[-1])}}])
-    assert [o["table"] for orders in sent(call)[0] for o in orders] == list(range(8)) and len(
-        sent(call)[0]
-    ) > 2
+    assert [o["table"] for orders in sent_orders(call)[0] for o in orders] == list(
+        range(8)
+    ) and len(sent_orders(call)[0]) > 2
 
 
 def test_idle_connections_are_closed_and_stale_replies_do_no_harm():
-    assigner, hub = front()
-    call = start_call(hub, quiet(assigner), weight_order(1, "s1"))
+    assigner, hub = make_assigner()
+    call = start_call(hub, suspend_reconciliation(assigner), weight_order(1, "s1"))
     feed(
         call,
         [
             {"id": 999, "result": {"taken": 1}},
-            {"id": sent(call)[1], "result": {"taken": 1}},
+            {"id": sent_orders(call)[1], "result": {"taken": 1}},
             {"id": 3},
         ],
     )
@@ -316,8 +337,8 @@
 
 
 def test_orders_from_before_a_new_assignment_are_dropped():
-    assigner, hub = front()
-    standing(quiet(assigner), hub, GRANT, ROW)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
     assigner.relay.order([weight_order(4, "s2"), weight_order(3, "s2")])
     feed(hub.open("relay_watch"), [{"method": "GRANT", "params": {"partition": 4, "yes": False}}])
     assert [order.key for order in assigner.relay.queue.orders] == [weight_order(3, "s2").key]
@@ -340,8 +361,8 @@
 )
 def test_after_an_invalid_reply_the_outcome_of_the_call_is_unknown(invalid):
     # Taken for carried out, orders could be lost for good; taken for rejected, be repeated.
-    assigner, hub = front()
-    standing(quiet(assigner), hub, GRANT, ROW)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
     call = start_call(hub, assigner, weight_order(4, "s2"), weight_order(4, "s1", 0.0))
-    feed(call, [{"id": sent(call)[1], **invalid}])
+    feed(call, [{"id": sent_orders(call)[1], **invalid}])
     assert call.over and assigner.relay.unresolved.orders and not assigner.relay.queue.orders
--- a/tests/net/test_relay_watch.py
+++ b/tests/net/test_relay_watch.py
@@ -2,18 +2,18 @@
 
 import pytest
 from helpers import (
-    ACK,
-    GRANT,
-    LEFT,
-    ROW,
-    SUB,
-    TRUE,
+    PROXY_CONNECTED,
+    PROXY_DISCONNECTED,
+    PUSH_ACKNOWLEDGED,
+    SLICE_ASSIGNED,
+    SUCCESS_REPLY,
+    TABLE_ENTRY,
     feed,
-    front,
-    quiet,
-    standing,
+    make_assigner,
+    open_watch_stream,
+    suspend_reconciliation,
     table_entry,
-    told,
+    take_pending_events,
     weight_order,
 )
 
@@ -22,16 +22,22 @@
 
 def test_an_entry_whose_weight_is_shown_as_0_is_still_an_entry():
     # Snapshots show thousandths: as 0 the entry would count as removed.
-    assigner, hub = front()
-    standing(quiet(assigner), hub, GRANT, table_entry("s1", 0.02), table_entry("s2", 0.0))
-    first, second = told(assigner, core.SnapshotEntry)
+    assigner, hub = make_assigner()
+    open_watch_stream(
+        suspend_reconciliation(assigner),
+        hub,
+        SLICE_ASSIGNED,
+        table_entry("s1", 0.02),
+        table_entry("s2", 0.0),
+    )
+    first, second = take_pending_events(assigner, core.SnapshotEntry)
     assert first.weight == 0.02 and 0 < second.weight < 0.0004
 
 
 @pytest.mark.parametrize("seconds", [3, 30])
 def test_the_number_of_connections_is_bounded_while_the_relay_is_silent(seconds):
-    assigner, hub = front(news_streams=2)
-    quiet(assigner).relay.watch.start()
+    assigner, hub = make_assigner(news_streams=2)
+    suspend_reconciliation(assigner).relay.watch.start()
     assigner.relay.order([weight_order(1, "s1")])
     for _ in range(10 * seconds):
         for c in hub.made:
@@ -42,46 +48,48 @@
 
 
 def test_a_change_on_two_streams_is_reported_once():
-    assigner, hub = front()
-    standing(quiet(assigner), hub, SUB, GRANT, ROW)
-    standing(assigner, hub, SUB, GRANT, ROW)
-    assert [type(e).__name__ for e in told(assigner)][-3:] == [
+    assigner, hub = make_assigner()
+    open_watch_stream(
+        suspend_reconciliation(assigner), hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY
+    )
+    open_watch_stream(assigner, hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY)
+    assert [type(e).__name__ for e in take_pending_events(assigner)][-3:] == [
         "ProxyConnected",
         "SliceAssignment",
         "SnapshotEntry",
     ]
     one, two = [c for c in hub.made if not c.over]
-    feed(two, [LEFT, SUB, ACK])
-    feed(one, [LEFT, SUB, ACK, LEFT])
-    feed(two, [LEFT])
-    assert [type(e).__name__ for e in told(assigner)] == [
+    feed(two, [PROXY_DISCONNECTED, PROXY_CONNECTED, PUSH_ACKNOWLEDGED])
+    feed(one, [PROXY_DISCONNECTED, PROXY_CONNECTED, PUSH_ACKNOWLEDGED, PROXY_DISCONNECTED])
+    feed(two, [PROXY_DISCONNECTED])
+    assert [type(e).__name__ for e in take_pending_events(assigner)] == [
         "ProxyDisconnected",
         "ProxyConnected",
         "PushAcknowledged",
         "ProxyDisconnected",
     ]
     one.close("reset")
-    assert told(assigner) == []
-    feed(two, [SUB])
-    assert [type(e).__name__ for e in told(assigner)] == ["ProxyConnected"]
+    assert take_pending_events(assigner) == []
+    feed(two, [PROXY_CONNECTED])
+    assert [type(e).__name__ for e in take_pending_events(assigner)] == ["ProxyConnected"]
 
 
 def test_after_a_gap_proxies_count_as_disconnected_and_the_present_state_is_reported():
-    assigner, hub = front()
-    standing(
-        quiet(assigner),
+    assigner, hub = make_assigner()
+    open_watch_stream(
+        suspend_reconciliation(assigner),
         hub,
-        SUB,
-        GRANT,
-        ROW,
+        PROXY_CONNECTED,
+        SLICE_ASSIGNED,
+        TABLE_ENTRY,
         {"method": "GRANT", "params": {"partition": 5, "yes": True}},
     )
-    told(assigner)
+    take_pending_events(assigner)
     hub.pass_time(2400)  # no ping
     changed = {"method": "ROW", "params": {"partition": 4, "host": "s2", "share": 1.0}}
-    feed(hub.open("relay_watch"), [TRUE, SUB, GRANT, changed])
+    feed(hub.open("relay_watch"), [SUCCESS_REPLY, PROXY_CONNECTED, SLICE_ASSIGNED, changed])
     hub.pass_time(100)
-    events = told(assigner)
+    events = take_pending_events(assigner)
     assert [type(e).__name__ for e in events] == [
         "ProxyDisconnected",
         "SliceAssignment",
@@ -96,44 +104,46 @@
 def test_acknowledgements_lost_while_all_streams_were_silent_reset_the_proxies(witness):
     # Streams that fall silent together and come back one by one show no gap, and a channel that is
     # believed full of unacknowledged pushes takes no orders.
-    assigner, hub = front()
-    standing(quiet(assigner), hub, SUB)
-    standing(assigner, hub, SUB)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub, PROXY_CONNECTED)
+    open_watch_stream(assigner, hub, PROXY_CONNECTED)
     one, two = [c for c in hub.made if c.peer.name == "relay_watch"]
     for stream in (one, two):
         feed(stream, [{"method": "ping"}])
-    told(assigner)
+    take_pending_events(assigner)
     hub.pass_time(1500)
     if witness:
         feed(two, [{"method": "ping"}])
     hub.pass_time(900)
     if not witness:
-        feed(hub.open("relay_watch"), [TRUE, SUB])
+        feed(hub.open("relay_watch"), [SUCCESS_REPLY, PROXY_CONNECTED])
     hub.pass_time(100)
     assert one.over and two.over != witness
-    assert [type(e).__name__ for e in told(assigner)] == (
+    assert [type(e).__name__ for e in take_pending_events(assigner)] == (
         [] if witness else ["ProxyDisconnected", "ProxyConnected"]
     )
 
 
 def test_an_unchanged_state_is_not_reported_again():
-    assigner, hub = front()
-    standing(quiet(assigner), hub, SUB, GRANT, ROW)
-    told(assigner)
-    standing(assigner, hub, SUB, GRANT, ROW)
-    assert told(assigner) == []
+    assigner, hub = make_assigner()
+    open_watch_stream(
+        suspend_reconciliation(assigner), hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY
+    )
+    take_pending_events(assigner)
+    open_watch_stream(assigner, hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY)
+    assert take_pending_events(assigner) == []
 
 
 def test_a_late_table_entry_belongs_to_its_assignment():
-    assigner, hub = front()
-    standing(quiet(assigner), hub, GRANT, ROW)
-    told(assigner)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
+    take_pending_events(assigner)
     feed(
         hub.open("relay_watch"),
-        [{"method": "ROW", "params": {"partition": 4, "host": "s2", "share": 0.02}}, ROW],
+        [{"method": "ROW", "params": {"partition": 4, "host": "s2", "share": 0.02}}, TABLE_ENTRY],
     )
     hub.pass_time(100)
-    assert {e.server.id for e in told(assigner, core.SnapshotEntry)} == {"s1", "s2"}
+    assert {e.server.id for e in take_pending_events(assigner, core.SnapshotEntry)} == {"s1", "s2"}
 
 
 @pytest.mark.parametrize(
@@ -154,13 +164,13 @@
     ],
 )
 def test_an_invalid_acknowledgement_is_ignored_and_its_stream_goes_on(invalid):
-    assigner, hub = front()
-    standing(quiet(assigner), hub, SUB)
-    told(assigner)
-    feed(hub.open("relay_watch"), [{"method": "ACK", "params": invalid}, ACK])
-    assert [(e.proxy.id, e.nonce) for e in told(assigner)] == [(1, 7)] and not hub.open(
-        "relay_watch"
-    ).over
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub, PROXY_CONNECTED)
+    take_pending_events(assigner)
+    feed(hub.open("relay_watch"), [{"method": "ACK", "params": invalid}, PUSH_ACKNOWLEDGED])
+    assert [(e.proxy.id, e.nonce) for e in take_pending_events(assigner)] == [
+        (1, 7)
+    ] and not hub.open("relay_watch").over
 
 
 @pytest.mark.parametrize(
@@ -174,8 +184,8 @@
     ],
 )
 def test_an_invalid_notification_ends_its_stream_and_the_log_names_the_field(bad, field):
-    assigner, hub = front()
-    standing(quiet(assigner), hub, SUB)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub, PROXY_CONNECTED)
     connection = hub.open("relay_watch")
     feed(connection, [bad])
     assert connection.over and hub.counters["bad_messages"] == 1
@@ -186,8 +196,8 @@
 
 def test_streams_that_fail_before_they_are_synchronised_are_replaced_with_backoff():
     # Each replaced at once, they would keep a core and the relay busy.
-    assigner, hub = front()
-    quiet(assigner).relay.watch.start()
+    assigner, hub = make_assigner()
+    suspend_reconciliation(assigner).relay.watch.start()
     for _ in range(200):
         if any(c.peer.name == "relay_watch" and not c.over for c in hub.made):
             feed(
@@ -205,21 +215,21 @@
         {"method": "CLOSED", "params": {"sidecar": 3}},
         {"method": "GRANT", "params": {"partition": 8, "yes": True}},
         {"method": "ping"},
-        ROW,
-        LEFT,
+        TABLE_ENTRY,
+        PROXY_DISCONNECTED,
     ],
 )
 def test_notifications_about_unknown_ids_are_ignored(news):
-    assigner, hub = front()
-    standing(quiet(assigner), hub)
-    told(assigner)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub)
+    take_pending_events(assigner)
     feed(hub.open("relay_watch"), [news])
-    assert told(assigner) == [] and not hub.open("relay_watch").over
+    assert take_pending_events(assigner) == [] and not hub.open("relay_watch").over
 
 
 def test_a_notification_whose_method_is_no_word_is_a_bad_message():
-    assigner, hub = front()
-    standing(quiet(assigner), hub)
+    assigner, hub = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), hub)
     connection = hub.open("relay_watch")
     feed(connection, [{"method": ["SUBSCRIBE"]}])
     assert connection.over and hub.counters.get("bad_messages") == 1
--- a/tests/net/world.py
+++ b/tests/net/world.py
@@ -13,7 +13,7 @@
 import time
 
 import orjson
-from helpers import listed, raw_config
+from helpers import listed_server, raw_config
 
 PATIENCE = 10.0
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close becomes a reset
@@ -259,7 +259,11 @@
     # The usual course of things, for what a test is not about
 
     def listing(self, *servers, **more):
-        return {"rev": self.version, "all": True, "targets": [listed(s) for s in servers]} | more
+        return {
+            "rev": self.version,
+            "all": True,
+            "targets": [listed_server(s) for s in servers],
+        } | more
 
     def listed(self, *servers):
         """Discovery answers the whole list and grants both watches."""
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,13 +1,13 @@
 """The admission probability while the fleet is overloaded."""
 
 import pytest
-from controller_scene import COMPLETED_SHARE_ADMITTED, ControllerScene
+from controller_harness import COMPLETED_SHARE_ADMITTED, ControllerHarness
 
 from havendyke import interface as core
 
 
 def test_an_overloaded_fleet_gets_no_retries_and_admits_less():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(4)
     (slice_,) = scene.add_slices(servers[:1])
     assert set(scene.retry_policies) == {
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize("failing, lowered", [(1, False), (2, False), (3, True)])
 def test_few_failing_servers_do_not_lower_the_admission_probability(failing, lowered):
     # All servers would reject requests for what a few of them cannot serve.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(5)
     (slice_,) = scene.add_slices(servers[:1])
     for number, server in enumerate(servers):
@@ -39,7 +39,7 @@
 
 def test_fast_failures_at_all_servers_do_not_lower_the_admission_probability():
     # Refused connections cost a server no work, and rejecting requests frees none of them.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(4)
     (slice_,) = scene.add_slices(servers[:1])
     for server in servers:
@@ -56,7 +56,7 @@
     failures, raised
 ):
     # Most servers warm up and have no reports, so that the middle one shows no failures.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     reported = scene.add_servers(4)
     scene.add_servers(6, started_ms=scene.now_ms - 1000.0)
     (slice_,) = scene.add_slices(reported[:1])
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -1,24 +1,24 @@
 """What holds for the controller as a whole."""
 
-from controller_scene import ControllerScene, HealthState, weight_orders
+from controller_harness import ControllerHarness, HealthState, weight_orders
 
 from havendyke import interface as core
 
 
 def test_without_slices_proxies_are_bound_to_a_table_of_all_usable_servers():
-    scene = ControllerScene(slice_count=0)
+    scene = ControllerHarness(slice_count=0)
     servers = scene.add_servers(3)
     scene.set_listed_state(core.ServerState.DRAINING, servers[2])
     scene.connect_proxies(2)
     scene.evaluate_health()
-    scene.plan_without_slices()
+    scene.plan_shared_tables()
     orders = scene.emit()
     assert {o.server for o in weight_orders(orders)} == set(servers[:2])
     assert sum(isinstance(o, core.BindTable) for o in orders) == 2
 
 
 def test_nothing_is_ordered_for_a_slice_that_is_not_assigned():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     primary, _ = scene.add_servers(2)
     (slice_,) = scene.add_slices([primary])
     scene.assign(slice_, False)
@@ -28,7 +28,7 @@
 
 def test_a_server_that_only_the_snapshot_names_is_available_until_a_list_lacks_it():
     # A cached list may be older than the server.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     scene.add_servers(3)
     scene.set_list_received(False)
     server = scene.add_server("new")
--- a/tests/policy/test_demand.py
+++ b/tests/policy/test_demand.py
@@ -1,13 +1,13 @@
 """Estimates of slices' demand and of the controllers that share a server."""
 
 import pytest
-from controller_scene import ControllerScene, controller_group
+from controller_harness import ControllerHarness, controller_group
 
 
 @pytest.mark.parametrize("assigned_for_ms, light", [(0.0, False), (60_000.0, True)])
 def test_a_slice_just_assigned_counts_as_the_mean_until_it_has_reports(assigned_for_ms, light):
     # Its primary would look empty and get still more slices.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     slices = scene.add_slices(scene.add_servers(4))
     unreported, *reported = slices
     scene.set_assigned_at(unreported, scene.now_ms - assigned_for_ms)
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -1,7 +1,7 @@
 """When one order ejects a server from all tables, and when it returns."""
 
 import pytest
-from controller_scene import STANDBY_WEIGHT, ControllerScene
+from controller_harness import STANDBY_WEIGHT, ControllerHarness
 
 from havendyke import interface as core
 from havendyke.policy.ejection import MAX_COVER_WAIT_MS
@@ -19,7 +19,7 @@
 )
 def test_one_order_ejects_a_server_whose_slices_all_have_another_endpoint(state, unhealthy_ms):
     # The entries of all its slices, times the proxies, take longer than a drain's grace.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     leaving, standby = scene.add_servers(2)
     slices = scene.add_slices([leaving] * 3)
     scene.connect_proxies(2)
@@ -33,7 +33,7 @@
 
 
 def test_no_server_is_ejected_where_a_slice_has_no_other_endpoint_or_one_that_warms_up():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     draining, warming_up = scene.add_servers(2)
     slices = scene.add_slices([draining] * 2)
     scene.connect_proxies(2)
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("warming_up, returned", [(False, 6), (True, 2)])
 def test_a_recovered_server_is_unejected_with_the_slices_that_it_can_carry(warming_up, returned):
     # Publishing its entries anew would leave it idle for several pushes.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     recovered, standby, *others = scene.add_servers(4)
     slices = scene.add_slices([recovered] * 6 + [standby, *others] * 6)
     scene.connect_proxies(2)
@@ -65,7 +65,7 @@
 
 
 def test_a_proxy_that_connects_gets_the_ejections_that_were_lifted_again():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     ejected_before, other = scene.add_servers(2)
     slices = scene.add_slices([ejected_before, other])
     scene.set_ejected_before(ejected_before)
@@ -75,10 +75,10 @@
 
 
 def test_standby_endpoints_in_the_first_snapshot_may_hide_ejections_of_an_earlier_controller():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     primary, standby = scene.add_servers(2)
     (slice_,) = scene.add_slices([primary])
-    scene.read_back(slice_, standby, STANDBY_WEIGHT)
+    scene.restore_entry(slice_, standby, STANDBY_WEIGHT)
     scene.connect_proxies(1)
     assert {o.server for o in ejections(scene, [slice_])} == {primary, standby}
 
@@ -99,7 +99,7 @@
     state, since_ms, max_empty_table_ms, ejected
 ):
     # Covering the slices of a batch takes several pushes; the last ejection came 0.01 s late.
-    scene = ControllerScene(max_empty_table_ms=max_empty_table_ms)
+    scene = ControllerHarness(max_empty_table_ms=max_empty_table_ms)
     leaving, other = scene.add_servers(2)
     slices = scene.add_slices([leaving, other])
     scene.connect_proxies(1)
--- a/tests/policy/test_exclusive_ownership.py
+++ b/tests/policy/test_exclusive_ownership.py
@@ -1,14 +1,14 @@
 """Slices with one server at a time: when the next primary may follow the former one."""
 
 import pytest
-from controller_scene import (
+from controller_harness import (
     CAUTIOUS_START_MS,
     CONNECT_RACE_WINDOW_MS,
     HANDOVERS_WITHIN_EMPTY_LIMIT,
     LONG_AGO_MS,
     OVERLOADED_REPORTS_TO_MIGRATE,
     PUSH_INTERVAL_MS,
-    ControllerScene,
+    ControllerHarness,
     add_slices_with_demand,
     clear_orders,
     weight_orders,
@@ -23,7 +23,7 @@
 
 def exclusive_scene(**settings):
     """A controller of a deployment in which a slice has one server at a time."""
-    return ControllerScene(
+    return ControllerHarness(
         exclusive_ownership=True,
         lease_ms=LEASE_MS,
         max_write_in_flight_ms=WRITE_IN_FLIGHT_MS,
@@ -194,7 +194,9 @@
 
 
 def test_a_push_does_not_clear_the_entry_that_it_has_just_set():
-    scene = ControllerScene(exclusive_ownership=True, lease_ms=500.0, max_write_in_flight_ms=500.0)
+    scene = ControllerHarness(
+        exclusive_ownership=True, lease_ms=500.0, max_write_in_flight_ms=500.0
+    )
     draining, following = scene.add_servers(2)
     (slice_,) = scene.add_slices([draining])
     scene.connect_proxies(1)
@@ -273,7 +275,7 @@
 @pytest.mark.parametrize("exclusive, most", [(True, 1), (False, 3)])
 def test_an_owner_that_warms_up_takes_over_one_slice_at_a_time(exclusive, most):
     # What waited for three slices came at once, and felled a server that could bear them.
-    scene = exclusive_scene() if exclusive else ControllerScene()
+    scene = exclusive_scene() if exclusive else ControllerHarness()
     warming_up, draining, full = scene.add_servers(3)
     slices = scene.add_slices([draining] * 3 + [full] * 9)
     scene.advance(CAUTIOUS_START_MS + 1)
--- a/tests/policy/test_health_check_schedule.py
+++ b/tests/policy/test_health_check_schedule.py
@@ -3,10 +3,10 @@
 from collections import Counter
 
 import pytest
-from controller_scene import (
+from controller_harness import (
     CHECKS_PER_SERVER_PER_S,
     RECONCILE_INTERVAL_MS,
-    ControllerScene,
+    ControllerHarness,
     controller_group,
 )
 
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("on_request, requests", [(True, 1), (False, 0)])
 def test_the_endpoint_list_is_asked_for_once_and_again_after_a_failure(on_request, requests):
-    scene = ControllerScene(list_on_request=on_request, list_request_timeout_ms=8000.0)
+    scene = ControllerHarness(list_on_request=on_request, list_request_timeout_ms=8000.0)
     orders = scene.request_observations() + scene.request_observations()
     assert sum(isinstance(o, core.RequestEndpointList) for o in orders) == requests
     scene.list_servers([], scope=core.ListScope.FAILED)
@@ -29,7 +29,7 @@
     """The servers that are asked within the duration, each passing at once."""
     for _ in range(int(duration_ms / RECONCILE_INTERVAL_MS)):
         for order in scene.request_observations():
-            scene.end_health_check(order.server, PASSED)
+            scene.report_health_check(order.server, PASSED)
             yield order.server.id
         scene.advance(RECONCILE_INTERVAL_MS)
 
@@ -59,11 +59,11 @@
 def test_a_server_that_failed_a_check_is_checked_again_before_the_others():
     scene = controller_group(5, 40, [k % 40 for k in range(240)], health_checks=True)[0]
     for order in scene.request_observations():
-        scene.end_health_check(order.server, PASSED)
+        scene.report_health_check(order.server, PASSED)
     suspect, sound = scene.servers[:2]
     scene.set_last_check(suspect, scene.now_ms)
     scene.set_last_check(sound, scene.now_ms)
-    scene.end_health_check(suspect, REFUSED)
+    scene.report_health_check(suspect, REFUSED)
     scene.advance(600.0)
     checked = {order.server for order in scene.request_observations()}
     assert suspect in checked and sound not in checked
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,11 +1,11 @@
 """Which servers count as unhealthy, and for how long."""
 
 import pytest
-from controller_scene import (
+from controller_harness import (
     CONSECUTIVE_FAILURES_TO_EJECT,
     MAX_EJECTION_TIME_MS,
     UNANSWERED_CHECKS_TO_EJECT,
-    ControllerScene,
+    ControllerHarness,
 )
 
 from havendyke import interface as core
@@ -23,7 +23,7 @@
 def test_a_failing_server_is_distinguished_from_an_overloaded_one(
     failures, latency_ms, others_failures, outlier
 ):
-    scene = ControllerScene()
+    scene = ControllerHarness()
     server, *others = scene.add_servers(5)
     scene.report_server(server, 40, failures, latency_ms)
     for other in others:
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("suspects, outliers", [(2, 2), (4, 0)])
 def test_more_than_half_of_the_servers_are_never_outliers(suspects, outliers):
     # So many at once are more likely the controller's own network or a stall.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     for server in scene.add_servers(6)[:suspects]:
         scene.set_consecutive_failures(server, CONSECUTIVE_FAILURES_TO_EJECT)
     scene.evaluate_health()
@@ -57,7 +57,7 @@
 def test_unanswered_checks_make_an_outlier_only_where_answers_are_due(
     own_age_ms, fleet_age_ms, latency_ms, attempts, in_flight, outlier
 ):
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(4)
     server = servers[0]
     scene.report_server(server, attempts, latency_ms=latency_ms)
@@ -71,7 +71,7 @@
 
 
 def test_the_ejection_time_doubles_up_to_its_maximum():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     server = scene.add_servers(5)[0]
     durations = []
     for _ in range(3):
@@ -86,10 +86,10 @@
 
 
 def test_a_check_that_reached_an_earlier_incarnation_is_no_further_failure():
-    scene = ControllerScene(health_checks=True)
+    scene = ControllerHarness(health_checks=True)
     server, *_ = scene.add_servers(6)
-    scene.end_health_check(server, core.HealthCheckOutcome.REFUSED)
-    scene.end_health_check(server, core.HealthCheckOutcome.SUPERSEDED)
+    scene.report_health_check(server, core.HealthCheckOutcome.REFUSED)
+    scene.report_health_check(server, core.HealthCheckOutcome.SUPERSEDED)
     scene.evaluate_health()
     assert scene.consecutive_failures(server) == 1
     assert not scene.is_outlier(server)
@@ -100,7 +100,7 @@
 def test_a_server_whose_connections_are_exhausted_is_no_outlier(connection_capacity, outlier):
     # It keeps its connections for a while after its slices have left, and those open new ones at
     # servers whose connections are exhausted too.
-    scene = ControllerScene(
+    scene = ControllerHarness(
         slice_count=160, connection_capacity=connection_capacity, connection_idle_ms=15_000.0
     )
     servers = scene.add_servers(20)
--- a/tests/policy/test_push_scheduler.py
+++ b/tests/policy/test_push_scheduler.py
@@ -1,9 +1,9 @@
 """When a push goes out, and what has room in it."""
 
 import pytest
-from controller_scene import (
+from controller_harness import (
     PUSH_INTERVAL_MS,
-    ControllerScene,
+    ControllerHarness,
     weight_orders,
 )
 
@@ -11,7 +11,7 @@
 
 
 def test_a_push_has_only_changed_entries_and_one_acknowledgement_request():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     former, following = scene.add_servers(2)
     changed, unchanged = scene.add_slices([former, following])
     scene.connect_proxies(3)
@@ -27,7 +27,7 @@
 
 
 def test_at_most_one_push_a_second():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     former, following = scene.add_servers(2)
     (slice_,) = scene.add_slices([former])
     scene.connect_proxies(1)
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("message_limit, pushed", [(0, True), (5, False)])
 def test_a_drain_need_not_wait_for_the_next_second(message_limit, pushed):
     # With a grace of 2 s a push a second later reaches some proxies after the server is gone.
-    scene = ControllerScene(message_limit=message_limit, message_limit_window_ms=10_000.0)
+    scene = ControllerHarness(message_limit=message_limit, message_limit_window_ms=10_000.0)
     draining, other = scene.add_servers(2)
     slices = scene.add_slices([draining] * 2)
     scene.connect_proxies(1)
@@ -61,7 +61,7 @@
 def test_entries_without_room_in_a_push_stay_unpublished():
     # A slice that counted as published without its entries would leave its traffic on a server
     # that drains.
-    scene = ControllerScene(channel_queue_limit=96.0)
+    scene = ControllerHarness(channel_queue_limit=96.0)
     former, following = scene.add_servers(2)
     slices = scene.add_slices([former] * 8)
     scene.connect_proxies(2)
@@ -80,7 +80,7 @@
 def test_queue_is_estimated_by_acknowledgements_and_by_the_slowest_rate(
     elapsed_ms, acknowledged, queued
 ):
-    scene = ControllerScene()
+    scene = ControllerHarness()
     proxies = scene.connect_proxies(2)
     scene.add_unacknowledged_push(entries_per_proxy=100.0, proxies=proxies, queued_entries=5000.0)
     scene.advance(elapsed_ms)
@@ -91,7 +91,7 @@
 
 def test_a_proxy_that_connects_again_is_asked_for_an_acknowledgement():
     # Its empty record would otherwise keep every slice unsettled.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     former, following = scene.add_servers(2)
     (slice_,) = scene.add_slices([former])
     stays, returns = scene.connect_proxies(2)
@@ -109,7 +109,7 @@
 
 def test_nothing_is_ordered_while_orders_cannot_leave():
     # Orders of a long absence would pile up and leave at once, beyond the channel's limit.
-    scene = ControllerScene(channel_queue_limit=400.0)
+    scene = ControllerHarness(channel_queue_limit=400.0)
     former, following = scene.add_servers(2)
     slices = scene.add_slices([former] * 60)
     scene.connect_proxies(4)
@@ -130,7 +130,7 @@
 @pytest.mark.parametrize("unsent_nonces, queue_is_empty", [((), False), ((1,), True)])
 def test_a_push_that_never_left_does_not_delay_the_next(unsent_nonces, queue_is_empty):
     # No proxy will acknowledge it, so its entries would count as queued without end.
-    scene = ControllerScene(channel_queue_limit=2000.0)
+    scene = ControllerHarness(channel_queue_limit=2000.0)
     former, following = scene.add_servers(2)
     slices = scene.add_slices([former] * 8)
     scene.connect_proxies(40)
@@ -147,13 +147,13 @@
     """A controller newly assigned `count` slices without a healthy endpoint, and two slices of a
     server that drains; the draining server and the `count` slices.
     """
-    scene = ControllerScene(**settings)
+    scene = ControllerHarness(**settings)
     _, _, ejected, draining = scene.add_servers(4)
     without_endpoint = scene.add_slices([ejected] * count)
     for ident in (count, count + 1):
         slice_ = scene.add_slice(ident)
         scene.assign(slice_)
-        scene.read_back(slice_, draining)
+        scene.restore_entry(slice_, draining)
     scene.connect_proxies(2)
     scene.set_listed_state(core.ServerState.DRAINING, ejected, draining)
     scene.set_ejected(ejected)
@@ -187,7 +187,7 @@
 
 def largest_deployment():
     """1,024 servers and 1,500 slices, before the first reconciliation."""
-    return ControllerScene.unstarted(
+    return ControllerHarness.unstarted(
         core.Settings(
             request_classes=[core.RequestClass(1000.0, 3000.0, core.Idempotency.IDEMPOTENT)],
             zone_count=3,
--- a/tests/policy/test_rebalancer.py
+++ b/tests/policy/test_rebalancer.py
@@ -3,12 +3,12 @@
 from collections import Counter
 
 import pytest
-from controller_scene import (
+from controller_harness import (
     LONG_AGO_MS,
     MIGRATION_INTERVAL_MS,
     OVERLOADED_REPORTS_TO_MIGRATE,
     PUSH_INTERVAL_MS,
-    ControllerScene,
+    ControllerHarness,
     add_slices_with_demand,
     controller_group,
 )
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("reports, moved", [(1, False), (2, True)])
 def test_one_slice_moves_off_an_overloaded_server(reports, moved):
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(5)
     overloaded, *others = servers
     slices = scene.add_slices([overloaded] * 6 + others * 3)
@@ -35,7 +35,7 @@
 
 
 def test_a_slice_is_settled_once_most_proxies_have_acknowledged_it():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     (slice_,) = scene.add_slices(scene.add_servers(1))
     proxies = scene.connect_proxies(5)
     scene.set_last_push(slice_, 3)
@@ -50,7 +50,7 @@
 
 def test_a_target_has_no_more_requests_in_flight_than_the_median_server():
     # A server of another controller's slices has no reports here and looks average, however full.
-    scene = ControllerScene(sizes_stated=False)
+    scene = ControllerHarness(sizes_stated=False)
     servers = scene.add_servers(4)
     source, *_, busy = servers
     slices = scene.add_slices([source] * 6 + servers[1:2])
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("others_failures, migrates", [(0, True), (40, False)])
 def test_a_failing_server_beside_a_healthy_fleet_gives_up_a_slice_a_push(others_failures, migrates):
     # Its own failures raise the fleet's error rate, which must not slow its migrations down.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(6)
     failing = servers[0]
     slices = scene.add_slices([failing] * 4 + servers[1:5])
@@ -119,7 +119,7 @@
 ):
     # A migration holds connections at source and target for a while; among fast servers it
     # exhausts them for no gain.
-    scene = ControllerScene(
+    scene = ControllerHarness(
         slice_count=160,
         connection_capacity=119.0,
         connection_idle_ms=15_000.0,
--- a/tests/policy/test_recovery_ramp.py
+++ b/tests/policy/test_recovery_ramp.py
@@ -2,16 +2,16 @@
 
 from collections import Counter
 
-from controller_scene import (
+from controller_harness import (
     CAUTIOUS_START_MS,
-    ControllerScene,
+    ControllerHarness,
     add_slices_with_demand,
     controller_group,
 )
 
 
 def test_recovered_servers_get_slices_though_no_server_is_slow():
-    scene = ControllerScene(
+    scene = ControllerHarness(
         slice_count=160,
         connection_capacity=119.0,
         connection_idle_ms=15_000.0,
@@ -28,7 +28,7 @@
 
 def test_sources_are_sought_once_for_all_recovered_servers():
     # A search through all slices for each of them would take much of a reconciliation.
-    scene = ControllerScene(slice_count=300, channel_queue_limit=61_560.0)
+    scene = ControllerHarness(slice_count=300, channel_queue_limit=61_560.0)
     servers = scene.add_servers(60)
     recovered = servers[30:]
     add_slices_with_demand(scene, [servers[k % 30] for k in range(300)])
@@ -43,7 +43,7 @@
 
 def test_recovered_servers_take_nothing_from_servers_that_warm_up():
     # From one to the next a slice only finds caches that are not yet filled.
-    scene = ControllerScene(slice_count=40, channel_queue_limit=61_560.0)
+    scene = ControllerHarness(slice_count=40, channel_queue_limit=61_560.0)
     servers = scene.add_servers(8)
     warming_up = scene.add_servers(4, started_ms=scene.now_ms - 8000.0)
     add_slices_with_demand(scene, [warming_up[k % 2] for k in range(30)] + servers)
@@ -77,7 +77,7 @@
 
 def test_recovered_servers_take_no_more_slices_than_a_push_has_room_for():
     # Further entries would leave no room for those of standby endpoints.
-    scene = ControllerScene(slice_count=300, channel_queue_limit=61_560.0)
+    scene = ControllerHarness(slice_count=300, channel_queue_limit=61_560.0)
     servers = scene.add_servers(60)
     recovered = servers[30:]
     slices = scene.add_slices([servers[k % 30] for k in range(300)])
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -1,7 +1,7 @@
 """When proxies may send a request a second time."""
 
 import pytest
-from controller_scene import ControllerScene
+from controller_harness import ControllerHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -22,7 +22,7 @@
 def test_retries_after_any_failure_only_where_they_cannot_take_effect_twice(
     idempotency, scope, window_ms, retried
 ):
-    scene = ControllerScene(
+    scene = ControllerHarness(
         request_classes=[core.RequestClass(1000.0, 3000.0, idempotency, scope, window_ms)]
     )
     assert scene.retry_policies == [
@@ -40,7 +40,7 @@
 )
 def test_refused_connections_do_not_end_retries(connection_capacity, latency_ms, policies):
     # Another server may have a free connection.
-    scene = ControllerScene(
+    scene = ControllerHarness(
         slice_count=160, connection_capacity=connection_capacity, connection_idle_ms=15_000.0
     )
     servers = scene.add_servers(20)
@@ -109,7 +109,7 @@
 
     def __init__(self, wire_settings, seed):
         parsed = read_settings(wire_settings)
-        self.scene = ControllerScene.unstarted(parsed, seed)
+        self.scene = ControllerHarness.unstarted(parsed, seed)
         self.servers = [self.scene.add_server(f"s{k}") for k in range(4)]
         self.proxies = [self.scene.add_proxy(k) for k in range(3)]
         self.slices = [self.scene.add_slice(k) for k in range(parsed.slice_count)]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -3,10 +3,10 @@
 from collections import Counter
 
 import pytest
-from controller_scene import (
+from controller_harness import (
     CAUTIOUS_START_MS,
     WARM_UP_LOAD_SHARE,
-    ControllerScene,
+    ControllerHarness,
     HealthState,
     controller_group,
     rounding_offset,
@@ -19,7 +19,7 @@
 
 def test_slices_beyond_what_a_fleet_that_warms_up_can_carry_get_no_endpoint():
     # With all traffic on servers that warm up, those fall over.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     former = scene.add_servers(4)
     slices = scene.add_slices(former * 5)
     started = scene.add_servers(4, started_ms=scene.now_ms - 1000.0)
@@ -35,13 +35,13 @@
 
 def full_baseline_load(scene, total_demand):
     """The baseline load of a controller that trusts its estimates of demand."""
-    return WARM_UP_LOAD_SHARE * scene.overload_factor * total_demand / scene.largest_fleet_capacity
+    return WARM_UP_LOAD_SHARE * scene.overload_factor * total_demand / scene.peak_fleet_capacity
 
 
 @pytest.mark.parametrize("up_for_ms, reduced", [(1000.0, True), (CAUTIOUS_START_MS + 1, False)])
 def test_the_baseline_load_is_reduced_after_the_controllers_start(up_for_ms, reduced):
     # A controller that restarts within a deployment has no estimate of demand.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     slices = scene.add_slices(scene.add_servers(4))
     scene.advance(up_for_ms)
     scene.estimate_demand(slices)
@@ -61,7 +61,7 @@
     failures, latency_ms, reduced
 ):
     # Servers that have just started have no reports and hide the overload in the median.
-    scene = ControllerScene(slice_count=60)
+    scene = ControllerHarness(slice_count=60)
     servers = scene.add_servers(10)
     scene.add_servers(12, started_ms=scene.now_ms - 2000.0)
     slices = scene.add_slices([servers[k % 10] for k in range(60)])
@@ -87,7 +87,7 @@
     limit, intervals, reduced
 ):
     # A server that was filled at a quarter of the load fell over when all of it came back.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     slices = scene.add_slices(scene.add_servers(4))
     scene.advance(CAUTIOUS_START_MS + 1)
     scene.admission_probability = limit
@@ -99,7 +99,7 @@
 
 
 def test_a_restarted_server_keeps_only_the_slices_that_it_can_carry():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     restarted, *others = scene.add_servers(4)
     slices = scene.add_slices([restarted] * 4 + others * 4)
     scene.list_servers([restarted], started_ms=scene.now_ms)
@@ -120,7 +120,7 @@
 def test_the_guaranteed_capacity_of_a_server_that_warms_up(
     age_ms, others_latency_ms, latency_ms, least, most
 ):
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(4)
     started = servers[0]
     scene.set_started(started, scene.now_ms - age_ms)
@@ -132,7 +132,7 @@
 
 
 def test_a_start_in_the_future_counts_as_now():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     (server,) = scene.add_servers(1, started_ms=200_000.0)
     scene.evaluate_health()
     assert scene.health(server) is HealthState.WARMING_UP and scene.capacity(server) > 0
@@ -151,7 +151,7 @@
 
 def test_servers_whose_start_is_assumed_keep_their_slices():
     # A healthy fleet would lose most of its tables to the controller's own restart.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = [scene.add_server(f"s{k}") for k in range(3)]
     list_with_assumed_start(scene, servers, scene.now_ms)
     slices = scene.add_slices(servers * 2)
@@ -167,7 +167,7 @@
 
 
 def test_an_assumed_start_gives_way_to_any_other():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     server = scene.add_server("a")
     list_with_assumed_start(scene, [server], scene.now_ms)
     list_with_assumed_start(scene, [server], scene.now_ms - 8000.0)
@@ -236,7 +236,7 @@
     sizes_stated, shedding, reduced
 ):
     # At a fair share of twice what the fleet could do, a small server got 6 times its capacity.
-    scene = ControllerScene(sizes_stated=sizes_stated, load_shedding=shedding)
+    scene = ControllerHarness(sizes_stated=sizes_stated, load_shedding=shedding)
     servers = scene.add_servers(4)
     slices = scene.add_slices(servers)
     for server in servers:
--- a/tests/policy/test_standby.py
+++ b/tests/policy/test_standby.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from controller_scene import ControllerScene, controller_group
+from controller_harness import ControllerHarness, controller_group
 
 from havendyke import interface as core
 
@@ -17,7 +17,7 @@
     ],
 )
 def test_an_unavailable_server_is_left_by_all_slices_and_no_table_gets_empty(state, servers, left):
-    scene = ControllerScene()
+    scene = ControllerHarness()
     endpoints = scene.add_servers(servers)
     slices = scene.add_slices([endpoints[0]] * 3)
     scene.set_listed_state(state, endpoints[0])
@@ -29,7 +29,7 @@
 
 
 def test_a_slice_whose_primary_is_gone_goes_to_its_standby_in_another_zone():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(6)
     slices = scene.add_slices(servers * 5)
     scene.evaluate_health()
@@ -46,7 +46,7 @@
     """Whether a slice stays in its primary's zone when that drains or is unhealthy, and its standby
     endpoint drains, so that it goes by hash.
     """
-    scene = ControllerScene(zone_count=zones)
+    scene = ControllerHarness(zone_count=zones)
     servers = scene.add_servers(12)
     for server in servers:
         scene.set_zone(server, server.zone % zones)
--- a/tests/policy/test_zone_loss.py
+++ b/tests/policy/test_zone_loss.py
@@ -1,11 +1,11 @@
 """When all servers of a zone are presumed to have restarted."""
 
 import pytest
-from controller_scene import (
+from controller_harness import (
     MAX_SUCCESS_AGE_REPORTS,
     MIN_REPORTED_SERVERS,
     MIN_ZONE_PROXIES,
-    ControllerScene,
+    ControllerHarness,
     HealthState,
     servers_in_zone,
 )
@@ -30,7 +30,7 @@
     ],
 )
 def test_servers_of_a_zone_that_fails_count_as_warming_up(failing, health_checks, age_ms, lost):
-    scene = ControllerScene(health_checks=health_checks)
+    scene = ControllerHarness(health_checks=health_checks)
     servers = scene.add_servers(12)
     zone = servers_in_zone(servers, 0)
     for number, server in enumerate(zone[:3]):
@@ -48,7 +48,7 @@
     "reported, lost", [(MIN_REPORTED_SERVERS - 1, 0), (MIN_REPORTED_SERVERS, 4)]
 )
 def test_few_servers_with_reports_do_not_speak_for_their_zone(reported, lost):
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(12)
     for server in servers_in_zone(servers, 0)[:reported]:
         scene.report_server(server, 3, 2)
@@ -58,7 +58,7 @@
 
 def test_zones_that_fail_together_are_not_lost():
     # The fault is more likely the controller's own.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     for server in scene.add_servers(12):
         scene.report_server(server, 3, 2 if server.zone else 0)
     scene.evaluate_health()
@@ -66,7 +66,7 @@
 
 
 def test_a_lost_zone_keeps_the_load_that_it_can_carry_after_a_restart():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(12)
     slices = scene.add_slices(servers * 4)
     scene.connect_proxies(4)
@@ -85,7 +85,7 @@
 
 
 def test_a_server_that_fails_with_its_zone_is_not_overloaded_though_its_answers_were_slow():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(12)
     for server in servers:
         scene.report_server(server, 3, 0 if server.zone else 2)
@@ -97,7 +97,7 @@
 
 
 def test_a_zone_warms_up_once_its_reports_are_good():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     lost = servers_in_zone(scene.add_servers(12), 0)
     for failures in (1, 0):
         for server in lost:
@@ -111,7 +111,7 @@
 
 
 def test_a_listed_start_counts_where_the_zone_was_lost_before():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(12)
     for server in servers:
         scene.report_server(server, 3, 0 if server.zone else 2)
@@ -153,7 +153,7 @@
 def test_servers_of_a_zone_whose_proxies_disconnected_count_as_warming_up(
     proxies_each, left, health_checks, lost
 ):
-    scene = ControllerScene(health_checks=health_checks)
+    scene = ControllerHarness(health_checks=health_checks)
     servers = scene.add_servers(12)
     scene.disconnect(*connect_zones(scene, proxies_each)[0][left:])
     scene.evaluate_health()
@@ -164,7 +164,7 @@
 
 def test_no_zone_is_lost_where_proxies_of_most_zones_disconnect():
     # The fault is more likely the relay's or the controller's own.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     scene.add_servers(12)
     zones = connect_zones(scene)
     scene.disconnect(*zones[0], *zones[1])
@@ -174,7 +174,7 @@
 
 def test_no_zone_is_lost_where_proxies_connect_again_zone_after_zone():
     # After a failure of the relay the last zone to connect looks lost beside the others.
-    scene = ControllerScene()
+    scene = ControllerHarness()
     scene.add_servers(12)
     zones = connect_zones(scene, 10)
     scene.disconnect(*(proxy for proxies in zones for proxy in proxies))
@@ -186,7 +186,7 @@
 
 
 def test_servers_and_proxies_of_unknown_zone_make_no_zone_that_is_lost():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     for server in servers_in_zone(scene.add_servers(12), 0):
         scene.set_zone(server, -1)
         scene.report_server(server, 3, 2)
@@ -200,7 +200,7 @@
 
 
 def test_a_proxy_that_connects_twice_and_disconnects_once_is_disconnected():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(12)
     proxies = connect_zones(scene)[0]
     for proxy in proxies:
@@ -211,7 +211,7 @@
 
 
 def test_a_zone_warms_up_once_its_proxies_are_connected_again():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     servers = scene.add_servers(12)
     zones = connect_zones(scene)
     scene.disconnect(*zones[0])
@@ -227,7 +227,7 @@
 
 
 def test_a_zone_that_lost_its_proxies_for_good_is_lost_no_longer():
-    scene = ControllerScene()
+    scene = ControllerHarness()
     scene.add_servers(12)
     scene.disconnect(*connect_zones(scene, 2 * MIN_ZONE_PROXIES)[0])
     counts = []
--- a/tests/recovery/test_recovered_starts.py
+++ b/tests/recovery/test_recovered_starts.py
@@ -1,7 +1,7 @@
 """Complete assigners that start from a persisted state while discovery is down, late or garbled."""
 
 import pytest
-from helpers import SETTINGS, listed, raw_config
+from helpers import SETTINGS, listed_server, raw_config
 
 from havendyke import config
 from havendyke import interface as core
@@ -23,7 +23,7 @@
     def __init__(self):
         super().__init__(
             raw_config(settings=SETTINGS | COLDNESS),
-            {n: listed(n, endpoint=f"127.0.0.9:{1000 + k}") for k, n in enumerate(NAMES)},
+            {n: listed_server(n, endpoint=f"127.0.0.9:{1000 + k}") for k, n in enumerate(NAMES)},
         )
 
     def grades(self):
@@ -95,7 +95,7 @@
     life.cut(60_000.0)
     w = life.start(discovery=False)
     w.pass_time(3000)
-    w.registry.entries["s2"] = listed("s2")
+    w.registry.entries["s2"] = listed_server("s2")
     w.registry.version = version - 1
     w.registry.down = False
     w.pass_time(5000)
--- a/tests/test_cold_figures.py
+++ b/tests/test_cold_figures.py
@@ -5,8 +5,16 @@
 
 import orjson
 import pytest
-from controller_scene import ControllerScene
-from helpers import answer, feed, front, listed, quiet, raw_config, told
+from controller_harness import ControllerHarness
+from helpers import (
+    feed,
+    http_response,
+    listed_server,
+    make_assigner,
+    raw_config,
+    suspend_reconciliation,
+    take_pending_events,
+)
 from test_other_customers import FULL, run
 
 from havendyke import config
@@ -75,14 +83,14 @@
 
 def changes(assigner, **started):
     """The event of a change of the list that names these servers with their starts (Unix ms)."""
-    targets = [listed(name, boot_ms=boot) for name, boot in started.items()]
+    targets = [listed_server(name, boot_ms=boot) for name, boot in started.items()]
     listing = {"rev": 11, "all": False, "targets": targets}
     return assigner.messages.endpoint_list.decode(listing).event
 
 
 def test_a_start_in_the_future_counts_as_now_and_stays_so():
-    assigner, hub = front()
-    quiet(assigner)
+    assigner, hub = make_assigner()
+    suspend_reconciliation(assigner)
     first = {e.server.id: e.started_ms for e in changes(assigner, s1=9e15, s2=5500).entries}
     assert first == {"s1": hub.now(), "s2": 500.0}
     hub.pass_time(5000)
@@ -91,9 +99,9 @@
 
 
 def test_a_start_time_that_goes_backwards_changes_no_servers_start():
-    assigner, hub = front()
-    quiet(assigner)
-    scene = ControllerScene.around(assigner.registry.controller)
+    assigner, hub = make_assigner()
+    suspend_reconciliation(assigner)
+    scene = ControllerHarness.wrap(assigner.registry.controller)
     scene.observe(changes(assigner, s1=5900, s2=5500))
     before = {s.id: scene.started_ms(s) for s in scene.servers}
     scene.observe(changes(assigner, s1=5100, s2=0))
@@ -102,12 +110,16 @@
 
 @pytest.mark.parametrize("boot", [-1, "5500", [], True])
 def test_an_invalid_start_time_costs_only_its_entry_and_is_named(boot):
-    assigner, hub = front(discovery_streams=1)
-    quiet(assigner).discovery.open_watches()
-    told(assigner)
-    targets = [listed("s1", boot_ms=boot), listed("s2", "terminating"), listed("s3", az="mars")]
-    feed(hub.open("discovery"), answer({"rev": 4, "all": True, "targets": targets}))
-    (event,) = told(assigner, core.EndpointListUpdate)
+    assigner, hub = make_assigner(discovery_streams=1)
+    suspend_reconciliation(assigner).discovery.open_watches()
+    take_pending_events(assigner)
+    targets = [
+        listed_server("s1", boot_ms=boot),
+        listed_server("s2", "terminating"),
+        listed_server("s3", az="mars"),
+    ]
+    feed(hub.open("discovery"), http_response({"rev": 4, "all": True, "targets": targets}))
+    (event,) = take_pending_events(assigner, core.EndpointListUpdate)
     assert [(e.server.id, e.state) for e in event.entries] == [("s2", "draining"), ("s3", "ready")]
     lines = [more for name, more in hub.logged if name == "bad_entry"]
     assert len(lines) == 1 and "boot_ms" in lines[0]["field"]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from helpers import SETTINGS, raw_config, whole_list
+from helpers import SETTINGS, complete_list, raw_config
 
 from havendyke.__main__ import main
 from havendyke.config import ConfigError, load, read
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize(
     "raw, said, status",
     [
-        (raw_config(known=whole_list("s1")), "well", 0),
+        (raw_config(known=complete_list("s1")), "well", 0),
         (raw_config(known={"rev": 1, "all": True}), "targets", 2),
         (
             raw_config(known={"rev": 1, "all": True, "targets": [{"uid": "s1", "state": "odd"}]}),
@@ -95,7 +95,7 @@
     }
     raw = raw_config(
         settings=SETTINGS | {"familyInfo": family} | told,
-        known=whole_list(*(f"s{k}" for k in range(3000))),
+        known=complete_list(*(f"s{k}" for k in range(3000))),
     )
     config = load({"ROUTER_CONFIG": written(tmp_path, raw)})
     assert (
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -5,7 +5,7 @@
 
 import orjson
 import pytest
-from helpers import FakeHub, raw_config, told, whole_list
+from helpers import FakeEventLoop, complete_list, raw_config, take_pending_events
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -167,12 +167,12 @@
 def run(wire_settings):
     """The first reconciliations of an assigner with the settings; the error's text where they are
     not accepted."""
-    raw = raw_config(settings=wire_settings, known=whole_list("s1", "s2", "s3"))
+    raw = raw_config(settings=wire_settings, known=complete_list("s1", "s2", "s3"))
     try:
         ready = config.read(orjson.dumps(raw), "a test", {})
     except config.ConfigError as error:
         return str(error)
-    assigner = Assigner(ready, FakeHub())
+    assigner = Assigner(ready, FakeEventLoop())
     assigner.start()
     registry = assigner.registry
     piece = [core.SliceAssignment(registry.slice(0), True)] if ready.settings.slice_count else []
@@ -190,7 +190,7 @@
     assert not assigner.event_loop.counters.get(
         "failed_reconciliations"
     ) and not assigner.event_loop.counters.get("failures"), assigner.event_loop.logged
-    told(assigner)
+    take_pending_events(assigner)
     return None
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -8,24 +8,24 @@
 
 import pytest
 from helpers import (
-    ACK,
-    GRANT,
-    LEFT,
-    ROW,
-    SUB,
-    TRUE,
+    PROXY_CONNECTED,
+    PROXY_DISCONNECTED,
+    PUSH_ACKNOWLEDGED,
+    SLICE_ASSIGNED,
+    SUCCESS_REPLY,
+    TABLE_ENTRY,
     Transport,
-    answer,
+    complete_list,
     feed,
-    front,
-    listed,
-    quiet,
+    http_response,
+    listed_server,
+    make_assigner,
+    open_watch_stream,
     raw_config,
-    sent,
-    standing,
-    told,
+    sent_orders,
+    suspend_reconciliation,
+    take_pending_events,
     weight_order,
-    whole_list,
 )
 
 from havendyke import config
@@ -50,7 +50,9 @@
         )
 
     def logged(event):
-        return next(told for told in map(json.loads, process.stderr) if told["event"] == event)
+        return next(
+            logged for logged in map(json.loads, process.stderr) if logged["event"] == event
+        )
 
     write(raw_config(discovery="127.0.0.1:1", distributor={"address": "127.0.0.1:1"}))
     process = subprocess.Popen(
@@ -77,91 +79,101 @@
 
 @pytest.mark.parametrize("times", [1, 2])
 def test_news_from_the_new_address_stands_before_the_old_goes_and_nobody_has_left(times):
-    assigner, hub = front()
-    standing(quiet(assigner), hub, SUB, GRANT, ROW)
-    told(assigner)
+    assigner, hub = make_assigner()
+    open_watch_stream(
+        suspend_reconciliation(assigner), hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY
+    )
+    take_pending_events(assigner)
     (old,) = at(hub, "relay_watch", "127.0.0.1")
     if times == 2:
         reload(
             assigner, distributor={"address": "127.0.0.3:6400"}
         )  # and again, in the middle of it
     reload(assigner)
-    feed(old, [ACK])
+    feed(old, [PUSH_ACKNOWLEDGED])
     assert not old.over
     (new,) = at(hub, "relay_watch", "127.0.0.2")
-    feed(new, [TRUE, SUB, GRANT, ROW])
+    feed(new, [SUCCESS_REPLY, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY])
     hub.pass_time(100)
     assert not old.over
     hub.pass_time(1000)
     hub.run()
     assert [c for c in hub.made if c.peer.name == "relay_watch" and not c.over] == [new]
-    assert [type(e).__name__ for e in told(assigner)] == ["PushAcknowledged"]
-    feed(new, [LEFT])
-    assert [type(e).__name__ for e in told(assigner)] == ["ProxyDisconnected"]
+    assert [type(e).__name__ for e in take_pending_events(assigner)] == ["PushAcknowledged"]
+    feed(new, [PROXY_DISCONNECTED])
+    assert [type(e).__name__ for e in take_pending_events(assigner)] == ["ProxyDisconnected"]
 
 
 def test_an_old_address_that_closes_first_takes_nobody_along():
-    assigner, hub = front()
-    standing(quiet(assigner), hub, SUB, GRANT, ROW)
-    told(assigner)
+    assigner, hub = make_assigner()
+    open_watch_stream(
+        suspend_reconciliation(assigner), hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY
+    )
+    take_pending_events(assigner)
     (old,) = at(hub, "relay_watch", "127.0.0.1")
     reload(assigner)
-    feed(at(hub, "relay_watch", "127.0.0.2")[0], [TRUE, SUB, GRANT, ROW])
+    feed(
+        at(hub, "relay_watch", "127.0.0.2")[0],
+        [SUCCESS_REPLY, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY],
+    )
     hub.pass_time(100)
     old.close("ended")
     hub.pass_time(1000)
-    assert told(assigner) == []
+    assert take_pending_events(assigner) == []
 
 
 @pytest.mark.parametrize("ends", ["answered", "broken", "idle"])
 def test_a_call_under_way_ends_at_the_old_address_and_the_next_goes_to_the_new(ends):
-    assigner, hub = front()
-    relay = quiet(assigner).relay
+    assigner, hub = make_assigner()
+    relay = suspend_reconciliation(assigner).relay
     relay.order([weight_order(1, "s1")])
     (old,) = at(hub, "relay", "127.0.0.1")
     if ends == "idle":
-        feed(old, [{"id": sent(old)[1], "result": {"taken": 1}}])
+        feed(old, [{"id": sent_orders(old)[1], "result": {"taken": 1}}])
     reload(assigner)
     relay.order([weight_order(2, "s1")])
     assert old.over == (ends == "idle")
     if ends == "answered":
-        feed(old, [{"id": sent(old)[1], "result": {"taken": 1}}])
+        feed(old, [{"id": sent_orders(old)[1], "result": {"taken": 1}}])
     elif ends == "broken":
         old.close("reset")
         hub.pass_time(900)
     (new,) = at(hub, "relay", "127.0.0.2")
     hub.run()
-    assert old.over and [o["table"] for o in sent(new)[0][-1]] == (
+    assert old.over and [o["table"] for o in sent_orders(new)[0][-1]] == (
         [1, 2] if ends == "broken" else [2]
     )
 
 
 def test_the_watch_at_the_new_address_stands_before_the_old_ones_go():
-    assigner, hub = front(discovery_streams=1)
-    quiet(assigner).discovery.open_watches()
+    assigner, hub = make_assigner(discovery_streams=1)
+    suspend_reconciliation(assigner).discovery.open_watches()
     (old,) = at(hub, "discovery", "127.0.0.1")
-    feed(old, answer({"rev": 3, "all": False, "targets": []}))
+    feed(old, http_response({"rev": 3, "all": False, "targets": []}))
     reload(assigner)
     whole, watch = at(hub, "discovery", "127.0.0.2")
-    told(assigner)
+    take_pending_events(assigner)
     feed(
         old,
-        answer({"rev": 4, "all": False, "targets": [listed("s1", "terminating")]}).split(
-            b"\r\n\r\n", 1
-        )[1],
+        http_response(
+            {"rev": 4, "all": False, "targets": [listed_server("s1", "terminating")]}
+        ).split(b"\r\n\r\n", 1)[1],
+    )
+    assert len(take_pending_events(assigner, core.EndpointListUpdate)) == 1 and not old.over
+    feed(
+        watch,
+        http_response({"rev": 4, "all": False, "targets": [listed_server("s1", "terminating")]}),
     )
-    assert len(told(assigner, core.EndpointListUpdate)) == 1 and not old.over
-    feed(watch, answer({"rev": 4, "all": False, "targets": [listed("s1", "terminating")]}))
-    feed(whole, answer(whole_list("s1", rev=4), chunked=False))
-    assert [e.scope for e in told(assigner, core.EndpointListUpdate)] == ["complete"]
+    feed(whole, http_response(complete_list("s1", rev=4), chunked=False))
+    assert [e.scope for e in take_pending_events(assigner, core.EndpointListUpdate)] == ["complete"]
     hub.pass_time(600)
     hub.run()
     assert old.over and not watch.over and assigner.discovery.queries == [watch.peer]
 
 
 def test_what_waits_for_a_restart_is_said():
-    assigner, hub = front()
-    quiet(assigner)
+    assigner, hub = make_assigner()
+    suspend_reconciliation(assigner)
     reload(assigner, listen="127.0.0.9:1", limits={"memory_mb": 64})
     assert [more["after_restart"] for event, more in hub.logged if event == "reloaded"] == [
         ["listen", "limits"]
@@ -197,12 +209,12 @@
 
 @pytest.mark.parametrize("lost", ["before the look", "under the look"])
 def test_an_old_list_passed_over_beside_a_watch_is_taken_once_none_stands(lost):
-    assigner, hub = front(discovery_streams=1)
-    discovery = quiet(assigner).discovery
+    assigner, hub = make_assigner(discovery_streams=1)
+    discovery = suspend_reconciliation(assigner).discovery
     discovery.open_watches()
     (watch,) = at(hub, "discovery", "127.0.0.1")
-    feed(watch, answer({"rev": 5, "all": False, "targets": [listed("s1")]}))
-    old = answer(whole_list("s1", "s2", rev=2), chunked=False)
+    feed(watch, http_response({"rev": 5, "all": False, "targets": [listed_server("s1")]}))
+    old = http_response(complete_list("s1", "s2", rev=2), chunked=False)
     discovery.check()
     feed(whole_of(hub), old)
     assert discovery.version == 5
@@ -216,13 +228,13 @@
 
 
 def test_discovery_at_a_new_address_may_have_lower_versions_while_the_old_watch_stands():
-    assigner, hub = front(discovery_streams=1)
-    discovery = quiet(assigner).discovery
+    assigner, hub = make_assigner(discovery_streams=1)
+    discovery = suspend_reconciliation(assigner).discovery
     discovery.open_watches()
     feed(
         at(hub, "discovery", "127.0.0.1")[0],
-        answer({"rev": 5, "all": False, "targets": [listed("s1")]}),
+        http_response({"rev": 5, "all": False, "targets": [listed_server("s1")]}),
     )
     reload(assigner)
-    feed(whole_of(hub, "127.0.0.2"), answer(whole_list("s1", "s2", rev=2), chunked=False))
+    feed(whole_of(hub, "127.0.0.2"), http_response(complete_list("s1", "s2", rev=2), chunked=False))
     assert discovery.version == 2
--- a/tests/test_same.py
+++ b/tests/test_same.py
@@ -22,8 +22,8 @@
     "a constant": (r"\bMAX_FAIR_SHARES = 1\.25\b", "MAX_FAIR_SHARES = 1.26"),
     "a time": (r"\bHALVING_INTERVAL_MS = 2_500\.0", "HALVING_INTERVAL_MS = 2_550.0"),
     "an acknowledgement's order": (
-        r"\bproxy\.acknowledged < channel\.last_serial\b",
-        "proxy.acknowledged <= channel.last_serial",
+        r"\bproxy\.acknowledged_serial < channel\.last_serial\b",
+        "proxy.acknowledged_serial <= channel.last_serial",
     ),
     "a report's share of failures": (
         r"successes > 0 and event\.latency_ms > 0",
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -3,8 +3,8 @@
 import random
 
 import pytest
-from controller_scene import ControllerScene
-from helpers import SETTINGS, front, listed, raw_config, whole_list
+from controller_harness import ControllerHarness
+from helpers import SETTINGS, complete_list, listed_server, make_assigner, raw_config
 
 from fuzz import registry
 from havendyke import config
@@ -22,12 +22,12 @@
 
 def world(*names):
     deployment = World(
-        lambda hub: Assigner(config.read_config(raw_config(known=whole_list(*names)), {}), hub),
+        lambda hub: Assigner(config.read_config(raw_config(known=complete_list(*names)), {}), hub),
         {
             slice_id: {names[slice_id % len(names)]: 1.0}
             for slice_id in range(SETTINGS["familyInfo"]["keyRanges"])
         },
-        {name: listed(name) for name in names},
+        {name: listed_server(name) for name in names},
     )
     deployment.assigner.start()
     return deployment
@@ -45,7 +45,7 @@
             (current, "terminating"),
             (current, "terminated"),
         ):
-            w.registry.change(**{n: listed(n, state) for n in names})
+            w.registry.change(**{n: listed_server(n, state) for n in names})
             w.pass_time(8000)
         current, a = fresh, w.assigner
         sizes.append(
@@ -70,9 +70,9 @@
 
 @pytest.mark.parametrize("ejected", [False, True])
 def test_an_ejected_server_that_is_listed_again_after_it_was_forgotten_is_unejected(ejected):
-    assigner, _ = front()
+    assigner, _ = make_assigner()
     server = assigner.registry.server("s9")
-    scene = ControllerScene.around(assigner.registry.controller)
+    scene = ControllerHarness.wrap(assigner.registry.controller)
     scene.set_listed_state(core.ServerState.GONE, server)
     if ejected:
         scene.set_ejected(server)
@@ -124,5 +124,5 @@
         w.registry.change(s1={"state": "in_service"})
     assert w.registry.version == w.assigner.discovery.version == 3
     w.pass_time(3000)
-    scene = ControllerScene.around(w.assigner.registry.controller)
+    scene = ControllerHarness.wrap(w.assigner.registry.controller)
     assert {s.id: scene.listed_state(s) for s in scene.servers}["s1"] == "ready"
--- a/tests/xds/test_forwarders.py
+++ b/tests/xds/test_forwarders.py
@@ -3,7 +3,7 @@
 
 import orjson
 import pytest
-from controller_scene import ControllerScene
+from controller_harness import ControllerHarness
 from test_streams import Forwarder
 
 from havendyke import interface as core
@@ -57,7 +57,7 @@
         )
 
     def is_connected(self, ident):
-        controller = ControllerScene.around(self.registry.controller)
+        controller = ControllerHarness.wrap(self.registry.controller)
         return controller.is_connected(self.registry.proxies[ident])
 
     def join(self, key, forwarder):
@@ -105,7 +105,7 @@
 def test_joined_forwarders_hold_a_line_for_every_slice_and_answer_marks():
     s = Scene()
     s.go(8000)
-    controller = ControllerScene.around(s.registry.controller)
+    controller = ControllerHarness.wrap(s.registry.controller)
     assert all(len(p.held[HOSTS]) == 10 for p in s.peers.values()) and not s.closed
     acknowledged = {controller.acknowledged_push(proxy) for proxy in controller.proxies}
     assert acknowledged == {controller.push_count} and controller.push_count > 0
--- a/tests/xds/test_server.py
+++ b/tests/xds/test_server.py
@@ -5,7 +5,7 @@
 
 import grpc
 import pytest
-from controller_scene import ControllerScene
+from controller_harness import ControllerHarness
 from envoy.config.route.v3 import route_components_pb2
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 
@@ -126,7 +126,7 @@
             c.name for c in one.routes[0].route.weighted_clusters.clusters
         }
         (proxy,) = world.registry.proxies.values()
-        scene = ControllerScene.around(world.registry.controller)
+        scene = ControllerHarness.wrap(world.registry.controller)
         assert (
             scene.is_connected(proxy)
             and proxy.zone == 1
