--- a/havendyke/bench_adapter/__init__.py
+++ b/havendyke/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's adapter: runs controllers behind lines of JSON and decides nothing."""
+"""Adapter for the simulation bench: runs controllers behind a JSON lines protocol."""
--- a/havendyke/bench_adapter/__main__.py
+++ b/havendyke/bench_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches from standard input and writes one answer for each to standard output."""
+"""Reads batches from standard input and writes a reply to each to standard output."""
 
 import sys
 
@@ -6,26 +6,26 @@
 from .batches import BatchError, BenchAdapter
 
 # Exit statuses.
-ANSWERED, OUTPUT_CLOSED, MALFORMED_INPUT = 0, 1, 2
+SUCCESS, OUTPUT_CLOSED, MALFORMED_INPUT = 0, 1, 2
 
 
 def main() -> int:
-    """Answers batches until the input ends; returns the exit status."""
+    """Processes batches until the input ends; returns the exit status."""
     adapter = BenchAdapter()
     try:
         for number, line in enumerate(sys.stdin.buffer, 1):
             try:
-                answer(adapter, line)
+                process_line(adapter, line)
             except (BatchError, FieldError) as error:
                 print(f"havendyke.bench_adapter: line {number}: {error}", file=sys.stderr)
                 return MALFORMED_INPUT
     except BrokenPipeError:
         return OUTPUT_CLOSED
-    return ANSWERED
+    return SUCCESS
 
 
-def answer(adapter: BenchAdapter, line: bytes) -> None:
-    """Writes the answer to a line; a blank one gets none."""
+def process_line(adapter: BenchAdapter, line: bytes) -> None:
+    """Writes the reply to a line; ignores blank lines."""
     if line.strip():
         sys.stdout.write(adapter.answer(line) + "\n")
         sys.stdout.flush()
--- a/havendyke/bench_adapter/batches.py
+++ b/havendyke/bench_adapter/batches.py
@@ -1,4 +1,4 @@
-"""Batches of messages for several controllers, answered with the controllers' orders."""
+"""Processes batches of messages for several controllers and replies with their orders."""
 
 import json
 from typing import Any
@@ -13,92 +13,94 @@
 
 
 class BatchError(ValueError):
-    """A line that is not JSON, or not an object."""
+    """A line that is not a JSON object."""
 
 
-class Instance:
-    """A controller that the bench runs, and its number on the wire.
+class ControllerInstance:
+    """A controller that the bench runs, and its id on the wire.
 
-    Starts by a message that carries its settings and its seed; raises `FieldError` where a field of
-    them is malformed.
+    The start message contains its settings and seed; raises `FieldError` if a field of it is
+    malformed.
     """
 
-    def __init__(self, number: int, message: Message) -> None:
-        self.number = number
+    def __init__(self, instance_id: int, message: Message) -> None:
+        self.instance_id = instance_id
         self._registry = ObjectRegistry(
             read_settings(read_field(message, "settings", dict)), read_field(message, "salt", int)
         )
 
     def receive(self, kind: str, message: Message) -> None:
-        """Keeps a message's event for the next reconciliation; raises `FieldError`."""
+        """Queues a message's event for the next reconciliation; raises `FieldError`."""
         event = read_event(self._registry, kind, message)
         if event is not None:
             self._registry.pending_events.append(event)
 
     def reconcile(self, now_ms: float) -> list[Message]:
-        """Hands the events to the controller and returns the messages of its orders."""
-        # The bench counts a failure only where it is declared, whatever its cause.
+        """Reconciles with the queued events and returns the orders as messages."""
+        # The bench counts a failure only if it is reported by a message, whatever its cause.
         try:
             orders = self._registry.reconcile(now_ms)
-            return [order_message(order, self.number) for order in orders]
+            return [order_message(order, self.instance_id) for order in orders]
         except Exception as error:
-            return [failure_message(self.number, error)]
+            return [failure_message(self.instance_id, error)]
 
 
 class BenchAdapter:
-    """Several controllers, each behind a registry of its own; nothing passes between them."""
+    """Several controllers, each with its own registry; they share no state."""
 
     def __init__(self) -> None:
-        self._instances: dict[int, Instance] = {}
+        self._instances: dict[int, ControllerInstance] = {}
 
     def answer(self, line: bytes) -> str:
-        """Answers one batch.
+        """Processes one batch and returns the reply.
 
-        Raises `BatchError` where the line is no batch and `FieldError` where a field of it is
+        Raises `BatchError` if the line is not a batch and `FieldError` if a field of it is
         malformed.
         """
         batch = read_batch(line)
         now_ms, serial = read_ms(batch, "ts"), read_field(batch, "serial", int)
         outbox: list[Message] = []
-        touched: dict[int, Instance] = {}
+        to_reconcile: dict[int, ControllerInstance] = {}
         for message in read_field(batch, "inbox", list):
-            self._receive(message, touched, outbox)
-        for instance in touched.values():
+            self._receive(message, to_reconcile, outbox)
+        for instance in to_reconcile.values():
             outbox += instance.reconcile(now_ms)
         return json.dumps({"serial": serial, "outbox": outbox}, separators=(",", ":"))
 
     def _receive(
-        self, message: Message, touched: dict[int, Instance], outbox: list[Message]
+        self, message: Message, to_reconcile: dict[int, ControllerInstance], outbox: list[Message]
     ) -> None:
-        """Starts, ends or notifies an instance and notes in `touched` which ones must reconcile."""
-        kind, number = read_field(message, "kind", str), read_field(message, "assignerId", int)
+        """Starts, ends or notifies an instance; adds to `to_reconcile` one that must reconcile."""
+        kind, instance_id = read_field(message, "kind", str), read_field(message, "assignerId", int)
         if kind == START_KIND:
-            self._start(number, message, touched, outbox)
+            self._start(instance_id, message, to_reconcile, outbox)
         elif kind == END_KIND:
-            self._instances.pop(number, None)
-            touched.pop(number, None)
-        elif number in self._instances:
-            touched[number] = self._instances[number]
-            touched[number].receive(kind, message)
+            self._instances.pop(instance_id, None)
+            to_reconcile.pop(instance_id, None)
+        elif instance_id in self._instances:
+            to_reconcile[instance_id] = self._instances[instance_id]
+            to_reconcile[instance_id].receive(kind, message)
 
     def _start(
         self,
-        number: int,
+        instance_id: int,
         message: Message,
-        touched: dict[int, Instance],
+        to_reconcile: dict[int, ControllerInstance],
         outbox: list[Message],
     ) -> None:
         try:
-            self._instances[number] = touched[number] = Instance(number, message)
+            self._instances[instance_id] = to_reconcile[instance_id] = ControllerInstance(
+                instance_id, message
+            )
         except FieldError:
             raise
-        # As in `reconcile`: a controller that does not start must not end the others.
+        # As in `reconcile`: a controller that fails to start must not end the others.
         except Exception as error:
-            outbox.append(failure_message(number, error))
+            outbox.append(failure_message(instance_id, error))
 
 
 def read_batch(line: bytes) -> dict[str, Any]:
-    """The object of a line; raises `BatchError`."""
+    """Parses a line; raises `BatchError`."""
     try:
         batch = json.loads(line)
     except ValueError as error:
--- a/havendyke/bench_adapter/messages.py
+++ b/havendyke/bench_adapter/messages.py
@@ -1,4 +1,4 @@
-"""Maps the bench's messages to events and orders to its messages; no other module knows them."""
+"""Translates the bench's messages to events, and orders to messages; the only module that does."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,7 +11,7 @@
 Message = dict[str, Any]
 
 NANOSECONDS_PER_MS = 1e6
-ALL_TABLES = 65535  # the table's number in an order that concerns all tables
+ALL_TABLES = 65535  # table number in an order that applies to all tables
 
 LIST_SCOPES = {
     "Partial": core.ListScope.CHANGES,
@@ -34,7 +34,7 @@
     "recalled": core.HealthCheckOutcome.TIMED_OUT,
     "superseded": core.HealthCheckOutcome.TIMED_OUT,
 }
-# Names in the bench's load figures, with the fields of `ServerLoad`.
+# Maps the bench's load figures to the fields of `ServerLoad`.
 LOAD_FIELDS = {
     "load_share": "cpu_share",
     "tps": "completed_per_s",
@@ -48,14 +48,14 @@
     core.RetryPolicy.IF_NOT_STARTED: 1,
     core.RetryPolicy.ONCE_AFTER_ANY_FAILURE: 2,
 }
-# Messages on which no decision depends.
+# Messages that no decision depends on.
 IGNORED_KINDS = frozenset({"INTAKE", "HEARD"})
 
 
 def read_event(registry: ObjectRegistry, kind: str, message: Message) -> core.Event | None:
-    """A message's event, None where no decision depends on the message.
+    """Translates a message to an event; None if no decision depends on it.
 
-    Raises `FieldError`, which names the field that is missing or malformed.
+    Raises `FieldError` if a field is missing or malformed.
     """
     if kind in IGNORED_KINDS:
         return None
@@ -64,17 +64,17 @@
     return EVENT_READERS[kind](registry, message)
 
 
-def order_message(order: core.Order, number: int) -> Message:
-    """The message of an order by the controller with this number."""
+def order_message(order: core.Order, controller_id: int) -> Message:
+    """Translates an order of a controller to a message."""
     kind, write_fields = ORDER_WRITERS[type(order)]
-    return {"kind": kind, "assignerId": number, **write_fields(order)}
+    return {"kind": kind, "assignerId": controller_id, **write_fields(order)}
 
 
-def failure_message(number: int, error: Exception) -> Message:
-    """The message that declares a failure of the controller with this number."""
+def failure_message(controller_id: int, error: Exception) -> Message:
+    """The message that reports a failure of a controller."""
     return {
         "kind": "GIVE_IN",
-        "assignerId": number,
+        "assignerId": controller_id,
         "message": f"{type(error).__name__}: {error}",
     }
 
@@ -211,7 +211,7 @@
 
 
 def _class_mask(request_classes: tuple[int, ...]) -> int:
-    """Bit k stands for request class k."""
+    """A bit mask of request classes; bit k is class k."""
     return sum(1 << k for k in request_classes)
 
 
@@ -260,7 +260,7 @@
     return {"active": True}
 
 
-# By order, the message's kind and what writes its further fields.
+# By order type: the message's kind, and the function that returns its other fields.
 ORDER_WRITERS: dict[type[core.Order], tuple[str, Callable[[Any], Message]]] = {
     core.SetEndpointWeight: ("LINE", _endpoint_weight),
     core.ClearTable: ("WIPE", _cleared_table),
--- a/havendyke/config/deployment.py
+++ b/havendyke/config/deployment.py
@@ -126,9 +126,9 @@
 def _request_class(section: object, own_zone_only: bool) -> core.RequestClass:
     return core.RequestClass(
         latency_objective_ms=read_ms(
-            section, "promise", least=MIN_LATENCY_MS, most=MAX_DURATION_MS
+            section, "promise", minimum=MIN_LATENCY_MS, maximum=MAX_DURATION_MS
         ),
-        deadline_ms=read_ms(section, "hardLimit", least=MIN_LATENCY_MS, most=MAX_DURATION_MS),
+        deadline_ms=read_ms(section, "hardLimit", minimum=MIN_LATENCY_MS, maximum=MAX_DURATION_MS),
         # An unknown word is refused, since a default would be wrong one way or the other.
         idempotency=read_choice(section, "repeat", IDEMPOTENCY, "side_effect"),
         deduplication_scope=read_choice(section, "group", DEDUPLICATION_SCOPES, "all"),
--- a/havendyke/fields.py
+++ b/havendyke/fields.py
@@ -1,7 +1,7 @@
-"""Takes a field of a message or of the configuration, checked, or raises an error that names it.
+"""Reads and validates fields of messages and of the configuration.
 
-A field without a default must be there; `null` counts as left out. Every function that reads a
-field raises `FieldError`.
+A field without a default is required; `null` counts as absent. All functions named `read_*` raise
+`FieldError`, which names the field.
 """
 
 from collections.abc import Mapping
@@ -9,53 +9,57 @@
 from typing import Any, TypeAlias, TypeVar, overload
 
 NUMBER_TYPES = (int, float)
-# Beyond any real figure, and small enough that conversions of units stay finite.
+# Above any realistic value, and small enough that unit conversions do not overflow.
 MAX_NUMBER = 1e30
 NS_PER_MS = 1e6
-MAX_MESSAGE_LENGTH = 120  # characters of a message in an error
-MAX_VALUE_LENGTH = 40  # characters of a value in an error
+MAX_MESSAGE_LENGTH = 120  # characters of a message quoted in an error
+MAX_VALUE_LENGTH = 40  # characters of a value quoted in an error
 
 Value = TypeVar("Value")
 Default = TypeVar("Default")
-Kind: TypeAlias = type[Any] | tuple[type[Any], ...]
+ExpectedType: TypeAlias = type[Any] | tuple[type[Any], ...]
 
 
 class FieldError(ValueError):
-    """A field that is missing, of another type or out of range; the text names it."""
+    """A field that is missing, of the wrong type or out of range; the message names it."""
 
 
 def excerpt(message: object) -> str:
-    """A message as errors show it."""
+    """The start of a message's `repr`, for error messages."""
     return repr(message)[:MAX_MESSAGE_LENGTH]
 
 
 @overload
-def read_field(message: object, name: str, kind: type[Value]) -> Value: ...
+def read_field(message: object, name: str, expected_type: type[Value]) -> Value: ...
 @overload
-def read_field(message: object, name: str, kind: type[Value], default: EllipsisType) -> Value: ...
+def read_field(
+    message: object, name: str, expected_type: type[Value], default: EllipsisType
+) -> Value: ...
 @overload
 def read_field(
-    message: object, name: str, kind: type[Value], default: Default
+    message: object, name: str, expected_type: type[Value], default: Default
 ) -> Value | Default: ...
 @overload
 def read_field(
-    message: object, name: str, kind: tuple[type[Any], ...], default: Any = ...
+    message: object, name: str, expected_type: tuple[type[Any], ...], default: Any = ...
 ) -> Any: ...
-def read_field(message: object, name: str, kind: Kind, default: Any = ...) -> Any:
-    """The field's value, of the type `kind`."""
+def read_field(message: object, name: str, expected_type: ExpectedType, default: Any = ...) -> Any:
+    """Reads a field and checks its type."""
     value = message.get(name) if isinstance(message, dict) else None
     if value is None:
         if default is ...:
             raise FieldError(f"field '{name}' is missing in {excerpt(message)}")
         return default
-    # bool is a subclass of int in Python, while the protocols keep the two apart.
-    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+    # bool is a subclass of int in Python, but the protocols distinguish the two.
+    if not isinstance(value, expected_type) or (
+        isinstance(value, bool) and expected_type is not bool
+    ):
         raise FieldError(f"field '{name}' has the wrong type in {excerpt(message)}")
     return value
 
 
 def read_flag(message: object, name: str, default: bool | EllipsisType = ...) -> bool:
-    """A truth value, written as one or as 1 and 0."""
+    """Reads a boolean, which some senders write as 1 or 0."""
     value = message.get(name) if isinstance(message, dict) else None
     return value if isinstance(value, bool) else bool(read_field(message, name, int, default))
 
@@ -63,33 +67,34 @@
 def read_choice(
     message: object,
     name: str,
-    table: Mapping[str, Value],
+    choices: Mapping[str, Value],
     default: str | EllipsisType = ...,
 ) -> Value:
-    """The table's value for the field's word; `default` is the word of a field that is left out."""
+    """Maps a string field through `choices`; `default` is the key for an absent field."""
     value = read_field(message, name, str, default)
-    if value not in table:
+    if value not in choices:
         raise FieldError(f"field '{name}' has the unknown value {value[:MAX_VALUE_LENGTH]!r}")
-    return table[value]
+    return choices[value]
 
 
 def read_number(
     message: object,
     name: str,
     default: Any = ...,
-    least: float = -MAX_NUMBER,
-    most: float = MAX_NUMBER,
-    kind: Kind = NUMBER_TYPES,
+    minimum: float = -MAX_NUMBER,
+    maximum: float = MAX_NUMBER,
+    expected_type: ExpectedType = NUMBER_TYPES,
 ) -> Any:
-    """A number from `least` to `most`, both included.
+    """Reads a number from `minimum` to `maximum`, both inclusive.
 
-    The default need not lie between them.
+    The default is not checked against the bounds.
     """
-    value: Any = read_field(message, name, kind, default)
-    if value is default or least <= value <= most:  # false for NaN
+    value: Any = read_field(message, name, expected_type, default)
+    if value is default or minimum <= value <= maximum:  # comparisons with NaN are false
         return value
     raise FieldError(
-        f"field '{name}' must be from {least:g} to {most:g}, not {str(value)[:MAX_VALUE_LENGTH]}"
+        f"field '{name}' must be from {minimum:g} to {maximum:g}, "
+        f"not {str(value)[:MAX_VALUE_LENGTH]}"
     )
 
 
@@ -97,11 +102,11 @@
     message: object,
     name: str,
     default: int | EllipsisType = ...,
-    least: float = 0,
-    most: float = MAX_NUMBER,
+    minimum: float = 0,
+    maximum: float = MAX_NUMBER,
 ) -> int:
-    """A whole number; 119.0 counts as one, since some JSON writers have no integers."""
-    value = read_number(message, name, default, least, most)
+    """Reads an integer; accepts 119.0, since some JSON encoders have no integer type."""
+    value = read_number(message, name, default, minimum, maximum)
     if value != int(value):
         raise FieldError(
             f"field '{name}' must be a whole number, not {str(value)[:MAX_VALUE_LENGTH]}"
@@ -113,15 +118,15 @@
     message: object,
     name: str,
     default: float | EllipsisType = ...,
-    least: float = -MAX_NUMBER,
-    most: float = MAX_NUMBER,
+    minimum: float = -MAX_NUMBER,
+    maximum: float = MAX_NUMBER,
 ) -> float:
-    """A time in milliseconds, from a field in nanoseconds.
+    """Reads a time in nanoseconds and returns it in milliseconds.
 
-    The bounds and the default are milliseconds.
+    The bounds and the default are in milliseconds.
     """
-    written_default = ... if default is ... else None
-    value = read_number(message, name, written_default, least * NS_PER_MS, most * NS_PER_MS)
+    field_default = ... if default is ... else None
+    value = read_number(message, name, field_default, minimum * NS_PER_MS, maximum * NS_PER_MS)
     if value is None:
         assert not isinstance(default, EllipsisType)
         return default
@@ -131,12 +136,12 @@
 def read_list(
     message: object,
     name: str,
-    kind: type[Value],
+    item_type: type[Value],
     default: list[Value] | EllipsisType = ...,
 ) -> list[Value]:
-    """A list whose items are all of the type `kind`."""
+    """Reads a list whose items all have exactly the type `item_type`."""
     items: list[Value] = read_field(message, name, (list,), default)
     for index, item in enumerate(items):
-        if type(item) is not kind:
+        if type(item) is not item_type:
             raise FieldError(f"field '{name}[{index}]' has the wrong type: {excerpt(item)}")
     return items
--- a/havendyke/interface/__init__.py
+++ b/havendyke/interface/__init__.py
@@ -1,9 +1,9 @@
-"""What goes into the controller and what comes out of it: settings, events and orders.
+"""The controller's interface: settings and events as input, orders as output.
 
-An adapter turns its protocol into events, hands them to `Controller.reconcile(now_ms, events)` and
-turns the orders that come back into its protocol again. Times are milliseconds with fractions.
-Servers, slices and proxies are objects that an adapter gets from the `ObjectRegistry`, once for
-each id; nothing behind the registry knows an id's form on the wire.
+An adapter translates its protocol into events, passes them to `Controller.reconcile(now_ms,
+events)` and translates the returned orders back into its protocol. Times are floats in
+milliseconds. Servers, slices and proxies are objects that an adapter gets from the
+`ObjectRegistry`, one per id; the controller does not depend on the wire format of an id.
 """
 
 from .events import (
--- a/havendyke/interface/events.py
+++ b/havendyke/interface/events.py
@@ -1,4 +1,4 @@
-"""Events: what an adapter reports to the controller."""
+"""Events that an adapter reports to the controller."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 
 class ListScope(StrEnum):
-    """What an update of the endpoint list covers."""
+    """What an endpoint list update contains."""
 
     CHANGES = "changes"
     COMPLETE = "complete"
-    CACHED = "cached"  # a complete list that may be out of date
-    FAILED = "failed"  # the list was asked for and did not come
+    CACHED = "cached"  # a complete list that may be stale
+    FAILED = "failed"  # a request for the list failed
 
 
 class HealthCheckOutcome(StrEnum):
     """How a health check ended."""
 
     PASSED = "passed"
-    ERROR = "error"  # an answer that reports a fault, or that cannot be read
-    SATURATED = "saturated"  # an answer: the server is up but full
+    ERROR = "error"  # a response that reports an error or is malformed
+    SATURATED = "saturated"  # the response says that the server is up but at capacity
     TIMED_OUT = "timed_out"
-    REFUSED = "refused"  # no connection could be made
-    RESET = "reset"  # the connection, or the attempt to open it, broke before the answer
-    SUPERSEDED = "superseded"  # it reached an earlier incarnation of the server
+    REFUSED = "refused"  # the connection was refused
+    RESET = "reset"  # the connection was reset while connecting or before the response
+    SUPERSEDED = "superseded"  # the check reached an earlier incarnation of the server
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,18 +46,18 @@
 
     server: Server
     state: ServerState
-    started_ms: float | None  # None: long ago
+    started_ms: float | None  # None: not stated, treated as long ago
     zone: int  # negative: unknown
     cell: int  # not used by policy
     machine_kind: int  # not used by policy
-    size: float  # relative capacity; counts only where `Settings.sizes_stated`
-    # False: the start time is assumed, since a cached list is not trusted.
+    size: float  # relative capacity; used only if `Settings.sizes_stated`
+    # False: the start time comes from a cached list and may be stale.
     start_confirmed: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """The endpoint list or changes of it."""
+    """The complete endpoint list, or changes to it."""
 
     scope: ListScope
     entries: Sequence[EndpointEntry]
@@ -65,17 +65,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyConnected:
-    """A proxy's stream is up."""
+    """A proxy opened its stream."""
 
     proxy: Proxy
     zone: int
-    request_rate: float  # requests a second that it is expected to bring
+    request_rate: float  # expected requests per second
     first_connection: bool  # not used by policy
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyDisconnected:
-    """A proxy's stream is down."""
+    """A proxy's stream closed."""
 
     proxy: Proxy
 
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotEntry:
-    """An entry of a slice's published table, as read back from the store."""
+    """An entry of a slice's published table, read back from a snapshot."""
 
     slice: Slice
     server: Server
@@ -99,39 +99,39 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """What a server says of itself; None where it does not."""
+    """Load figures that a server reports about itself; None: not reported."""
 
     cpu_share: float | None = None
     completed_per_s: float | None = None
     errors_per_s: float | None = None
     in_flight: float | None = None
     queued: float | None = None
-    service_time_ms: float | None = None  # without waiting
+    service_time_ms: float | None = None  # excluding queueing time
 
 
-# Of a server that says nothing of itself.
+# For servers that report no load figures.
 UNKNOWN_LOAD = ServerLoad()
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoadReport:
-    """Attempts that the proxies of one zone made at a server within the window."""
+    """Attempts that the proxies of one zone made at a server during the window."""
 
     server: Server
     zone: int
     attempts: int
     failures: int
-    latency_ms: float  # 0: no attempt succeeded
+    latency_ms: float  # of successful attempts; 0: none succeeded
     window_ms: float
     load: ServerLoad = UNKNOWN_LOAD
 
 
 @dataclass(frozen=True, slots=True)
 class SliceLoadReport:
-    """Requests of one class that came for a slice within the window."""
+    """Requests of one class that arrived for a slice during the window."""
 
     slice: Slice
-    request_class: int  # index in `Settings.request_classes`
+    request_class: int  # index into `Settings.request_classes`
     requests: int
     failures: int
     window_ms: float
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """The end of a health check that the controller ordered."""
+    """The result of a health check that the controller ordered."""
 
     server: Server
     outcome: HealthCheckOutcome
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PushAcknowledged:
-    """A proxy has applied everything up to the push with this nonce."""
+    """A proxy has applied all pushes up to the one with this nonce."""
 
     proxy: Proxy
     nonce: int
@@ -158,10 +158,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PushChannelStatus:
-    """Whether orders leave for the proxies; they do until the contrary is reported."""
+    """Whether orders can be sent to the proxies; assumed so until reported otherwise."""
 
     connected: bool
-    # Nonces of pushes that never left and will not; the published tables were read back instead.
+    # Pushes that were never sent and will not be; the published tables were re-read instead.
     unsent_nonces: tuple[int, ...] = ()
 
 
--- a/havendyke/interface/orders.py
+++ b/havendyke/interface/orders.py
@@ -1,4 +1,4 @@
-"""Orders: what the controller asks an adapter to do."""
+"""Orders that the controller gives to an adapter."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class RetryPolicy(Enum):
-    """When a proxy may send a request a second time."""
+    """When a proxy may retry a request."""
 
     NEVER = "never"
-    IF_NOT_STARTED = "if_not_started"  # after proof that the first attempt did not run
+    IF_NOT_STARTED = "if_not_started"  # only if the first attempt provably was not executed
     ONCE_AFTER_ANY_FAILURE = "once_after_any_failure"
 
 
@@ -29,16 +29,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClearTable:
-    """Removes all servers from a slice's table."""
+    """Removes all entries from a slice's table."""
 
     slice: Slice
 
 
 @dataclass(frozen=True, slots=True)
 class SetEjection:
-    """Ejects a server from, or returns it to, all tables that the proxies hold.
+    """Ejects a server from, or restores it to, load balancing at all proxies.
 
-    The tables themselves stay as they are.
+    The tables themselves do not change.
     """
 
     server: Server
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BindTable:
-    """Binds a proxy to a table, for deployments without slices."""
+    """Binds a proxy to a table, in deployments without slices."""
 
     proxy: Proxy
     table: Slice
@@ -56,31 +56,31 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAdmission:
-    """Sets for all proxies what they admit and retry of some request classes."""
+    """Sets the admission limit and the retry policy of request classes at all proxies."""
 
     request_classes: tuple[int, ...]  # indices, ascending
-    limit: float  # a share or requests a second, by `Settings.load_shedding`
+    limit: float  # a share or requests per second, depending on `Settings.load_shedding`
     retry_policy: RetryPolicy
 
 
 @dataclass(frozen=True, slots=True)
 class RequestAcknowledgement:
-    """Ends a push: each proxy that got a part of it answers with the nonce."""
+    """Ends a push: each proxy that received a part of it acknowledges the nonce."""
 
     nonce: int
-    all_proxies: bool  # also those that got no part of it
+    all_proxies: bool  # also those that received no part of it
 
 
 @dataclass(frozen=True, slots=True)
 class SendHealthCheck:
-    """Asks a server for its health."""
+    """Sends a health check to a server."""
 
     server: Server
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Reports `TimerFired` after the delay."""
+    """Starts a timer that reports `TimerFired` after the delay."""
 
     timer_id: int
     delay_ms: float
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEndpointList:
-    """Asks for the endpoint list."""
+    """Requests the endpoint list from discovery."""
 
 
 Order = (
--- a/havendyke/state/__init__.py
+++ b/havendyke/state/__init__.py
@@ -1,4 +1,4 @@
-"""What the controller observes of servers, slices, proxies and pushes. Nothing here decides."""
+"""Observed state of servers, slices, proxies and pushes; contains no policy."""
 
 from .histogram import DecayingHistogram, upper_median
 from .observed import ObservedState
--- a/havendyke/state/histogram.py
+++ b/havendyke/state/histogram.py
@@ -1,6 +1,6 @@
-"""A coarse histogram that forgets by halving, and the logarithmic scales of its bins.
+"""A coarse histogram with exponential decay, and the logarithmic scales of its bins.
 
-A position is a place on such a scale, counted in bins from 0, with fractions.
+A position is a fractional bin index on such a scale.
 """
 
 from collections.abc import Iterable
@@ -9,29 +9,29 @@
 
 BINS_PER_DOUBLING = 3
 SHORTEST_LATENCY_MS = 8.0
-# The next halving empties a bin that holds no more, so that an unused server has no median again.
+# Halving clears a bin with no more than this, so that the median of an unused server lapses.
 NEGLIGIBLE_COUNT = 0.1
 
 Value = TypeVar("Value", float, float | None)
 
 
 def latency_position(latency_ms: float) -> float:
-    """The position of a latency on the scale of the latency histograms."""
+    """Converts a latency to a position in the latency histograms."""
     return BINS_PER_DOUBLING * log2(max(latency_ms, SHORTEST_LATENCY_MS) / SHORTEST_LATENCY_MS)
 
 
 def request_position(requests: float) -> float:
-    """The position of a number of requests on the scale of the in-flight histograms."""
+    """Converts a number of requests to a position in the in-flight histograms."""
     return BINS_PER_DOUBLING * log2(1.0 + max(requests, 0.0))
 
 
 def ratio(positions: float) -> float:
-    """The ratio of two values that lie this many positions apart."""
+    """The ratio of two values whose positions differ by this much."""
     return float(2 ** (positions / BINS_PER_DOUBLING))
 
 
 class DecayingHistogram:
-    """Counts in a fixed number of bins; positions beyond the ends count in the last bin there."""
+    """Counts in a fixed number of bins; positions out of range count in the nearest bin."""
 
     __slots__ = ("_median", "_median_is_current", "bins")
 
@@ -41,18 +41,18 @@
         self._median_is_current = True
 
     def add(self, position: float, count: float) -> None:
-        """Counts `count` observations at a position."""
+        """Adds `count` observations at a position."""
         self.bins[max(0, min(len(self.bins) - 1, int(position)))] += count
         self._median_is_current = False
 
     def halve(self) -> None:
-        """Halves every count; those that are negligible become 0."""
+        """Halves every count and clears negligible ones."""
         self.bins = [count / 2 if count > NEGLIGIBLE_COUNT else 0.0 for count in self.bins]
         self._median_is_current = False
 
     def median(self) -> float | None:
-        """The position of the median, None while nothing was counted."""
-        # Cached: a reconciliation asks several times for each server, and few have changed.
+        """The position of the median; None if the histogram is empty."""
+        # Cached: a reconciliation reads it several times per server, and few servers change.
         if not self._median_is_current:
             self._median_is_current = True
             self._median = self._find_median()
@@ -68,6 +68,6 @@
 
 
 def upper_median(values: Iterable[float], default: Value) -> float | Value:
-    """The upper median of the values, `default` where there are none."""
+    """The upper median of the values; `default` if there are none."""
     ordered = sorted(values)
     return ordered[len(ordered) // 2] if ordered else default
--- a/havendyke/state/observed.py
+++ b/havendyke/state/observed.py
@@ -1,4 +1,4 @@
-"""What events leave behind: servers, slices, proxies, pushes and counts of requests."""
+"""The state that events update: servers, slices, proxies, pushes and request counts."""
 
 from __future__ import annotations
 
@@ -32,20 +32,20 @@
 from .server import LONG_AGO_MS, NEVER_MS, Server, ZoneFailureReport
 from .slice import Slice
 
-# Under a short name, for each reconciliation compares it for every server.
+# Module-level alias: each reconciliation compares it for every server.
 READY = ServerState.READY
 
-# Start times of one server that lie closer together are one start, as different clocks show it.
-SAME_START_MS = 1.0
+# Start times of a server that differ by no more are the same start, read from different clocks.
+START_TOLERANCE_MS = 1.0
 
 CONNECT_FAILURES = (HealthCheckOutcome.REFUSED, HealthCheckOutcome.RESET)
-MISSING_ANSWERS = (HealthCheckOutcome.TIMED_OUT, HealthCheckOutcome.ERROR)
+UNANSWERED_CHECKS = (HealthCheckOutcome.TIMED_OUT, HealthCheckOutcome.ERROR)
 
 
 class ObservedState:
-    """The state that events leave behind; policy derives everything else from it.
+    """The state that events update; policy derives everything else from it.
 
-    Times are in milliseconds by the adapter's clock.
+    Times are in milliseconds of the adapter's clock.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -56,21 +56,21 @@
         self.proxies: list[Proxy] = []
         self.connected_by_zone: dict[int, ConnectedProxyCount] = defaultdict(ConnectedProxyCount)
         self.channel = PushChannel()
-        self.endpoint_list_received = False  # a current one, not only one from a cache
+        self.endpoint_list_received = False  # a current one, not a cached one
         self.last_success_ms = NEVER_MS  # of any server
         self.last_disconnect_ms = NEVER_MS  # of any proxy
-        # Counted since the last adjustment of admission.
-        self.attempt_outcomes = DecayingHistogram(2)  # that succeeded and that failed
+        # Since the last adjustment of the admission limit.
+        self.attempt_outcomes = DecayingHistogram(2)  # bins: succeeded, failed
         self.offered_requests = 0.0
-        # An event calls for a reconciliation before the next tick.
+        # An event requires a reconciliation before the next tick.
         self.reconciliation_due = True
         self._proxies_reconnected = False
 
-    # Objects; the registry calls these once for each id
+    # Objects; the registry calls these once per id
 
-    def add_server(self, ident: str) -> Server:
-        """Adds the server of a new id."""
-        server = Server(ident)
+    def add_server(self, server_id: str) -> Server:
+        """Adds a server with a new id."""
+        server = Server(server_id)
         if self.settings.slice_count:
             server.rounding_offset = rounding_offset(
                 server, self.settings.controller_index, self.settings.controller_count
@@ -78,49 +78,49 @@
         self.servers.append(server)
         return server
 
-    def add_slice(self, ident: int) -> Slice:
-        """Adds the slice of a new id."""
-        added = Slice(ident, len(self.settings.request_classes))
-        self.slices.append(added)
-        return added
+    def add_slice(self, slice_id: int) -> Slice:
+        """Adds a slice with a new id."""
+        slice_ = Slice(slice_id, len(self.settings.request_classes))
+        self.slices.append(slice_)
+        return slice_
 
-    def add_proxy(self, ident: int) -> Proxy:
-        """Adds the proxy of a new id."""
-        proxy = Proxy(ident)
+    def add_proxy(self, proxy_id: int) -> Proxy:
+        """Adds a proxy with a new id."""
+        proxy = Proxy(proxy_id)
         self.proxies.append(proxy)
         return proxy
 
     # Selections
 
     def ready_servers(self) -> list[Server]:
-        """The servers that the endpoint list calls ready."""
+        """The servers that are ready according to the endpoint list."""
         return [server for server in self.servers if server.state == READY]
 
     def assigned_slices(self) -> list[Slice]:
-        """The slices that this controller is responsible for."""
+        """The slices that are assigned to this controller."""
         return [slice_ for slice_ in self.slices if slice_.assigned]
 
     def connected_proxies(self) -> list[Proxy]:
-        """The proxies whose streams are up."""
+        """The proxies whose streams are open."""
         return [proxy for proxy in self.proxies if proxy.connected]
 
     # Events
 
     def apply(self, event: Event) -> None:
-        """Applies one event; `TimerFired` changes nothing here."""
+        """Applies one event; ignores `TimerFired`."""
         handler = self._HANDLERS.get(type(event))
         if handler is not None:
             handler(self, event)
 
     def reset_request_counts(self) -> None:
-        """Restarts the counts of attempts and offered requests, after admission was adjusted."""
+        """Resets the counts of attempts and offered requests, after admission was adjusted."""
         self.attempt_outcomes = DecayingHistogram(2)
         self.offered_requests = 0.0
 
     def mark_ejections_unconfirmed(self) -> None:
-        """After proxies reconnected, ejections and their ends must be sent again.
+        """Marks past and present ejections to be sent again if proxies have reconnected.
 
-        Done once a reconciliation, since a whole fleet may connect within one.
+        Called once per reconciliation, since the whole fleet may reconnect during one.
         """
         if self._proxies_reconnected:
             for server in self.servers:
@@ -144,7 +144,7 @@
     def _update_server(self, entry: EndpointEntry) -> None:
         server = entry.server
         started_ms = entry.started_ms if entry.started_ms is not None else LONG_AGO_MS
-        restarted = server.started_ms is None or started_ms > server.started_ms + SAME_START_MS
+        restarted = server.started_ms is None or started_ms > server.started_ms + START_TOLERANCE_MS
         if restarted or server.start_assumed:
             server.started_ms = started_ms
             server.start_assumed = not entry.start_confirmed
@@ -185,8 +185,8 @@
         slice_.published = {}
         slice_.desired = {}
         slice_.last_push_serial = None
-        # Where no snapshot entry follows, the controller before may have removed the primary just
-        # now, and proxies may still use it.
+        # If no snapshot entry follows, the previous controller may just have removed the primary,
+        # and proxies may still use it.
         lease_end_ms = self.last_disconnect_ms + self.settings.lease_ms
         slice_.clearing_push = Push(0, 0, set(), self.now_ms, max(self.now_ms, lease_end_ms))
         self.reconciliation_due = True
@@ -196,8 +196,8 @@
         slice_.published[event.server] = event.weight
         slice_.desired[event.server] = event.weight
         slice_.clearing_push = None
-        # Standby entries that are there at the start come from an earlier controller, which may
-        # have left servers ejected.
+        # Standby entries in a table before the first push come from an earlier controller, which
+        # may have left servers ejected.
         if self.channel.last_serial == 0 and len(slice_.published) > 1:
             for server in slice_.published:
                 server.ejection_unconfirmed = True
@@ -238,7 +238,7 @@
             server.unanswered_checks = 0
         elif event.outcome in CONNECT_FAILURES:
             server.consecutive_connect_failures += 1
-        elif event.outcome in MISSING_ANSWERS:
+        elif event.outcome in UNANSWERED_CHECKS:
             server.unanswered_checks += 1
 
     def _acknowledge_push(self, event: PushAcknowledged) -> None:
--- a/havendyke/state/proxy.py
+++ b/havendyke/state/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy as the controller observes it, and figures over all connected proxies."""
+"""Observed state of a proxy, and aggregates over connected proxies."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,34 +6,34 @@
 
 
 class Proxy:
-    """One proxy: its stream and the last push that it acknowledged."""
+    """A proxy, its stream and the last push that it acknowledged."""
 
-    def __init__(self, ident: int) -> None:
-        self.id = ident
+    def __init__(self, proxy_id: int) -> None:
+        self.id = proxy_id
         self.connected = False
-        self.request_rate = 1.0  # requests a second
+        self.request_rate = 1.0  # requests per second
         self.zone = 0
-        self.acknowledged_serial = 0  # serial of a push; 0: none on this stream
-        self.bound = False  # to its tables, in a deployment without slices
+        self.acknowledged_serial = 0  # 0: no push acknowledged on this stream
+        self.bound = False  # to its shared tables, in a deployment without slices
 
 
 @dataclass(slots=True)
 class ConnectedProxyCount:
-    """The connected proxies of a zone, and the most that were lately."""
+    """The number of connected proxies of a zone, and its recent peak."""
 
     connected: int = 0
     peak: float = 0.0
 
     def adjust(self, difference: int) -> None:
-        """Counts proxies that connect (positive) or disconnect (negative)."""
+        """Adds proxies that connected, or subtracts (negative) those that disconnected."""
         self.connected += difference
         self.peak = max(self.peak, self.connected)
 
 
-def serial_acknowledged_by(proxies: Iterable[Proxy], share: float) -> int:
-    """The serial of the last push that proxies with this share of the traffic have acknowledged."""
+def serial_acknowledged_by(proxies: Iterable[Proxy], traffic_share: float) -> int:
+    """The last push that proxies with at least this share of the traffic have acknowledged."""
     connected = sorted((p for p in proxies if p.connected), key=lambda p: -p.acknowledged_serial)
-    missing_rate = share * sum(p.request_rate for p in connected)
+    missing_rate = traffic_share * sum(p.request_rate for p in connected)
     serial = 0
     for proxy in connected:
         if missing_rate > 0:
@@ -43,7 +43,7 @@
 
 
 def connections_per_server(proxies: Iterable[Proxy], server_count: int, idle_ms: float) -> float:
-    """The expected number of connections open at each server, where all are used alike.
+    """The expected number of open connections per server, if load is spread evenly.
 
     A proxy keeps a connection open for `idle_ms` after its last request.
     """
--- a/havendyke/state/random_numbers.py
+++ b/havendyke/state/random_numbers.py
@@ -1,4 +1,4 @@
-"""Random numbers that one seed decides, the same on every machine."""
+"""Pseudorandom numbers that depend on the seed alone, on every machine."""
 
 MULTIPLIER = 6364136223846793005
 INCREMENT = 1442695040888963407
@@ -9,12 +9,12 @@
 
 
 class LinearCongruentialGenerator:
-    """Knuth's MMIX generator; the high bits alone are used."""
+    """Knuth's MMIX generator; returns the high bits only."""
 
     def __init__(self, seed: int) -> None:
         self.state = seed % MODULUS
 
     def draw(self) -> float:
-        """The next number, from 0 up to but not including 1."""
+        """The next number, in [0, 1)."""
         self.state = (self.state * MULTIPLIER + INCREMENT) % MODULUS
         return (self.state >> DISCARDED_BITS) / (1 << RESULT_BITS)
--- a/havendyke/state/rendezvous.py
+++ b/havendyke/state/rendezvous.py
@@ -1,4 +1,4 @@
-"""Draws that all controllers agree on without talking: rendezvous hashing and rounding offsets."""
+"""Rendezvous hashing and rounding offsets, which all controllers compute alike independently."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 DIGEST_BYTES = 7
 DIGEST_RANGE = 1 << 8 * DIGEST_BYTES
-# Strides near this part of the circle keep the offsets of successive controllers far apart.
+# A stride near this fraction of the range spreads the offsets of successive controllers.
 GOLDEN_RATIO = 0.618
 
 
 def rendezvous_hash(slice_: Slice, server: Server) -> float:
-    """A number above 0 and up to 1 for a slice and a server, the same at every controller."""
+    """A hash of a slice and a server in (0, 1], the same at every controller."""
     digest = slice_.hash_prefix.copy()
     digest.update(server.hash_key)
     return (int.from_bytes(digest.digest()) + 1) / DIGEST_RANGE
@@ -26,11 +26,11 @@
 def rounding_offset(
     server: Server, controller_index: int | None, controller_count: int
 ) -> float | None:
-    """What a controller adds to its part of a server before it rounds down to whole slices.
+    """The offset that a controller adds to its share of a server before it rounds down.
 
-    The offsets of a server are 0 to count - 1 over count, a permutation of the controllers, so that
-    all parts together, each rounded down, are no more than their sum. None where the controller is
-    alone or does not know its index.
+    The share is in slices. The offsets of all controllers are a permutation of 0/n to (n - 1)/n for
+    n controllers, so that the rounded shares never add up to more than the sum of the shares. None
+    if there is one controller or its index is unknown.
     """
     if controller_count == 1 or controller_index is None:
         return None
@@ -39,7 +39,7 @@
         for candidate in range(max(1, int(GOLDEN_RATIO * controller_count)), controller_count + 1)
         if gcd(candidate, controller_count) == 1
     )
-    # Other controllers hash with the same `person`: a change would need all of them at once.
+    # Must be the same at all controllers, so a change has to be deployed to all at once.
     digest = blake2b(server.hash_key, digest_size=DIGEST_BYTES, person=b"turn").digest()
-    start = int.from_bytes(digest)
-    return (start + stride * controller_index) % controller_count / controller_count
+    first_position = int.from_bytes(digest)
+    return (first_position + stride * controller_index) % controller_count / controller_count
--- a/havendyke/state/slice.py
+++ b/havendyke/state/slice.py
@@ -18,27 +18,27 @@
 
 
 class Slice:
-    """One slice: its published and its desired table, both weights by server, and its demand.
+    """A slice: its published and desired tables, as weights by server, and its demand.
 
-    Without slices a deployment has shared tables of this type instead; `zone` is set where a table
-    serves the request classes that stay in their zone.
+    A deployment without slices has shared tables of this type instead; `zone` is set for a table of
+    the request classes that must stay in their zone.
     """
 
-    def __init__(self, ident: int, request_class_count: int) -> None:
-        self.id = ident
-        self.hash_prefix = blake2b(f"{ident}/".encode(), digest_size=DIGEST_BYTES)
+    def __init__(self, slice_id: int, request_class_count: int) -> None:
+        self.id = slice_id
+        self.hash_prefix = blake2b(f"{slice_id}/".encode(), digest_size=DIGEST_BYTES)
         self.zone: int | None = None
         self.assigned = False
         self.assigned_ms = NEVER_MS
         self.published: dict[Server, float] = {}
         self.desired: dict[Server, float] = {}
-        self.requests = DecayingHistogram(request_class_count)  # a bin for each class
-        self.demand: float | None = None  # 1 for the mean; None before the first estimate
+        self.requests = DecayingHistogram(request_class_count)  # one bin per class
+        self.demand: float | None = None  # relative to the mean; None before the first estimate
         self.migrated_ms = NEVER_MS
-        # Serial of the last push that changed the table; None after a migration or an assignment,
-        # until the next push changes it.
+        # The last push that changed the table; None after a migration or an assignment, until
+        # the next push changes it.
         self.last_push_serial: int | None = None
-        # Exclusive ownership: the push that removed the endpoint, until another one is published.
+        # Exclusive ownership: the push that emptied the table, until an endpoint is published.
         self.clearing_push: Push | None = None
 
     def primary(self) -> Server | None:
@@ -46,12 +46,12 @@
         return max(self.desired, key=self.desired.__getitem__) if self.desired else None
 
     def is_published(self) -> bool:
-        """Whether each desired endpoint is published with its weight; further ones may be."""
+        """Whether all desired entries are published; the published table may have others too."""
         published = self.published
         return all(published.get(server) == weight for server, weight in self.desired.items())
 
     def share_if_unejected(self, server: Server) -> float:
-        """The share of the slice that an ejected server would get if it were unejected."""
+        """The share of the slice that an ejected server would receive if it were unejected."""
         weight = self.published.get(server, 0.0)
         if not weight:
             return weight
@@ -59,8 +59,8 @@
 
 
 def unreferenced_servers(servers: Iterable[Server], slices: Iterable[Slice]) -> list[Server]:
-    """The servers that the endpoint list no longer has and no table names."""
-    named = {
+    """Servers that are not in the endpoint list and in no table."""
+    referenced = {
         server
         for slice_ in slices
         for table in (slice_.published, slice_.desired)
@@ -69,15 +69,15 @@
     return [
         server
         for server in servers
-        if (server.state is None or server.state == ServerState.GONE) and server not in named
+        if (server.state is None or server.state == ServerState.GONE) and server not in referenced
     ]
 
 
 def slices_by_server(slices: Iterable[Slice]) -> dict[Server, list[Slice]]:
-    """The assigned slices whose published tables name a server, by server."""
-    found: dict[Server, list[Slice]] = defaultdict(list)
+    """Maps each server to the assigned slices whose published tables contain it."""
+    slices_of: dict[Server, list[Slice]] = defaultdict(list)
     for slice_ in slices:
         if slice_.assigned:
             for server in slice_.published:
-                found[server].append(slice_)
-    return found
+                slices_of[server].append(slice_)
+    return slices_of
--- a/tests/bench_adapter/test_bench_batches.py
+++ b/tests/bench_adapter/test_bench_batches.py
@@ -1,4 +1,4 @@
-"""Batches: which instances act, what is declared and what is refused."""
+"""Batches: which instances reconcile, which failures are reported, which input is rejected."""
 
 import json
 
@@ -21,11 +21,13 @@
 }
 
 
-def send(adapter, *events, at=1_000_000_000):
-    return json.loads(adapter.answer(json.dumps({"ts": at, "serial": 4, "inbox": list(events)})))
+def send(adapter, *events, time_ns=1_000_000_000):
+    return json.loads(
+        adapter.answer(json.dumps({"ts": time_ns, "serial": 4, "inbox": list(events)}))
+    )
 
 
-def test_reply_echoes_the_serial_and_only_instances_with_events_act():
+def test_reply_echoes_the_serial_and_only_instances_with_events_reconcile():
     adapter = BenchAdapter()
     reply = send(adapter, BOOT)
     assert reply["serial"] == 4 and {o["assignerId"] for o in reply["outbox"]} == {1}
@@ -41,7 +43,7 @@
         ({"kind": "MEMBERS", "assignerId": 1, "scope": "Odd", "items": []}, "scope"),
     ],
 )
-def test_malformed_input_names_the_field(event, field):
+def test_error_for_malformed_input_names_the_field(event, field):
     adapter = BenchAdapter()
     send(adapter, BOOT)
     with pytest.raises(FieldError, match=f"'{field}'"):
@@ -73,13 +75,13 @@
         },
     ],
 )
-def test_events_about_the_unknown_do_no_harm(event):
+def test_events_about_unknown_objects_cause_no_other_orders(event):
     adapter = BenchAdapter()
     send(adapter, BOOT)
     assert all(o["kind"] in ("TIMER", "RATION", "BARRIER") for o in send(adapter, event)["outbox"])
 
 
-def test_a_failure_in_the_decisions_is_declared_with_its_cause(monkeypatch):
+def test_reports_an_exception_in_reconciliation_with_its_cause(monkeypatch):
     adapter = BenchAdapter()
     send(adapter, BOOT)
     monkeypatch.setattr(ObjectRegistry, "reconcile", lambda registry, now_ms: 1 // 0)
@@ -93,9 +95,9 @@
     ]
 
 
-def test_same_events_same_actions_for_each_instance():
-    adapter, twin = BenchAdapter(), {**BOOT, "assignerId": 2}
-    listing = {
+def test_two_instances_with_the_same_events_give_the_same_orders():
+    adapter, second_boot = BenchAdapter(), {**BOOT, "assignerId": 2}
+    endpoint_list = {
         "kind": "MEMBERS",
         "scope": "Persisted",
         "rev": 1,
@@ -112,26 +114,32 @@
             for k in range(4)
         ],
     }
-    reply = send(adapter, BOOT, {**listing, "assignerId": 1}, twin, {**listing, "assignerId": 2})
-    one, two = (
+    reply = send(
+        adapter,
+        BOOT,
+        {**endpoint_list, "assignerId": 1},
+        second_boot,
+        {**endpoint_list, "assignerId": 2},
+    )
+    first, second = (
         [{**o, "assignerId": 0} for o in reply["outbox"] if o["assignerId"] == n] for n in (1, 2)
     )
-    assert one == two
+    assert first == second
 
 
-def test_settings_the_decisions_cannot_start_with_are_declared():
+def test_reports_settings_that_a_controller_cannot_start_with():
     boot = {**BOOT, "settings": {**BOOT["settings"], "requestClasses": []}}
     kinds = [o["kind"] for o in send(BenchAdapter(), boot)["outbox"]]
     assert kinds == ["GIVE_IN"]
 
 
 @pytest.mark.parametrize("line", [b"{", b"[]", b"7", b"\xff{}"])
-def test_a_line_that_is_no_batch_is_an_error_of_its_own(line):
+def test_a_line_that_is_not_a_batch_raises_batch_error(line):
     with pytest.raises(BatchError):
         BenchAdapter().answer(line)
 
 
-def test_an_instance_that_was_ended_gets_no_more_messages():
-    adapter, ended = BenchAdapter(), {"kind": "TEARDOWN", "assignerId": 1}
-    assert send(adapter, BOOT, ended)["outbox"] == []
+def test_an_ended_instance_ignores_messages():
+    adapter, teardown = BenchAdapter(), {"kind": "TEARDOWN", "assignerId": 1}
+    assert send(adapter, BOOT, teardown)["outbox"] == []
     assert send(adapter, {"kind": "PARTED", "assignerId": 1, "agent": 0})["outbox"] == []
--- a/tests/bench_adapter/test_bench_messages.py
+++ b/tests/bench_adapter/test_bench_messages.py
@@ -1,4 +1,4 @@
-"""The bench's words: each message as an event, each order as a message."""
+"""Translation of the bench's messages to events, and of orders to messages."""
 
 import pytest
 
@@ -20,8 +20,8 @@
 SERVER_LOAD = core.ServerLoad(cpu_share=0.5, in_flight=3, queued=1)
 
 
-def test_each_message_is_read_as_its_event(registry):
-    server, number, proxy = registry.server("t1"), registry.slice(4), registry.proxy(2)
+def test_translates_each_message_to_its_event(registry):
+    server, slice_, proxy = registry.server("t1"), registry.slice(4), registry.proxy(2)
     cases = {
         "TRAFFIC_REPORT": (
             {"task": "t1", "az": 2, "count": 9, "bad": 1, "latency": 4e6, "window": 5e8}
@@ -30,7 +30,7 @@
         ),
         "SLICE_LOAD": (
             {"routeTable": 4, "service": 1, "count": 9, "bad": 1, "window": 5e8},
-            core.SliceLoadReport(number, 1, 9, 1, 500.0),
+            core.SliceLoadReport(slice_, 1, 9, 1, 500.0),
         ),
         "REMINDER": ({"ctx": 7}, core.TimerFired(7)),
         "ECHO": (
@@ -43,10 +43,10 @@
         ),
         "JOINED": ({"agent": 2, "az": 1, "part": 3.5}, core.ProxyConnected(proxy, 1, 3.5, False)),
         "PARTED": ({"agent": 2}, core.ProxyDisconnected(proxy)),
-        "CUSTODY": ({"routeTable": 4, "active": True}, core.SliceAssignment(number, True)),
+        "CUSTODY": ({"routeTable": 4, "active": True}, core.SliceAssignment(slice_, True)),
         "IN_STORE": (
             {"routeTable": 4, "task": "t1", "part": 0.25},
-            core.SnapshotEntry(number, server, 0.25),
+            core.SnapshotEntry(slice_, server, 0.25),
         ),
         "MEMBERS": ({"scope": "Error"}, core.EndpointListUpdate(core.ListScope.FAILED, [])),
         "INTAKE": ({}, None),
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize(
     "ready_at, started_ms", [(None, None), (0, None), (5e6, 5.0), (-5e6, -5.0)]
 )
-def test_an_entry_of_the_list_is_read_with_its_defaults(registry, ready_at, started_ms):
+def test_endpoint_entry_defaults(registry, ready_at, started_ms):
     item = {"task": "t1", "health": "L", "readyAt": ready_at}
     event = read_event(registry, "MEMBERS", {"scope": "Partial", "items": [item]})
     entry = core.EndpointEntry(
@@ -68,18 +68,18 @@
     assert event == core.EndpointListUpdate(core.ListScope.CHANGES, [entry])
 
 
-def test_each_order_is_written_as_its_message(registry):
-    server, number, proxy = registry.server("t1"), registry.slice(4), registry.proxy(2)
+def test_translates_each_order_to_its_message(registry):
+    server, slice_, proxy = registry.server("t1"), registry.slice(4), registry.proxy(2)
     once = core.RetryPolicy.ONCE_AFTER_ANY_FAILURE
     cases = [
         (
-            core.SetEndpointWeight(number, server, 0.25),
+            core.SetEndpointWeight(slice_, server, 0.25),
             {"kind": "LINE", "routeTable": 4, "task": "t1", "part": 0.25},
         ),
-        (core.ClearTable(number), {"kind": "WIPE", "routeTable": 4}),
+        (core.ClearTable(slice_), {"kind": "WIPE", "routeTable": 4}),
         (core.SetEjection(server, True), {"kind": "BENCH", "task": "t1", "active": True}),
         (
-            core.BindTable(proxy, number, (0, 1)),
+            core.BindTable(proxy, slice_, (0, 1)),
             {"kind": "BIND", "routeTable": 4, "only": 3, "agent": 2},
         ),
         (
@@ -93,5 +93,5 @@
     ]
     for order, message in cases:
         kind, *fields = message.items()
-        expected = [kind, ("assignerId", 6), *fields]  # their sequence is that of the bytes
+        expected = [kind, ("assignerId", 6), *fields]  # the order of the fields in the JSON text
         assert list(order_message(order, 6).items()) == expected
--- a/tests/bench_adapter/test_bench_program.py
+++ b/tests/bench_adapter/test_bench_program.py
@@ -1,4 +1,4 @@
-"""The program that the deploy file's `sim` names: exit statuses and complaints."""
+"""The bench adapter as a program: exit statuses and error messages."""
 
 import json
 import subprocess
@@ -14,17 +14,17 @@
     return subprocess.run(command, input=data, capture_output=True, timeout=20)
 
 
-def test_each_batch_is_answered_on_a_line_and_blank_lines_are_passed_over():
-    done = run(EMPTY_BATCH % 1 + b"\n  \n" + EMPTY_BATCH % 2)
-    assert done.returncode == 0 and not done.stderr
-    assert [json.loads(line) for line in done.stdout.splitlines()] == [
+def test_replies_to_each_batch_on_one_line_and_ignores_blank_lines():
+    finished = run(EMPTY_BATCH % 1 + b"\n  \n" + EMPTY_BATCH % 2)
+    assert finished.returncode == 0 and not finished.stderr
+    assert [json.loads(line) for line in finished.stdout.splitlines()] == [
         {"serial": 1, "outbox": []},
         {"serial": 2, "outbox": []},
     ]
 
 
 @pytest.mark.parametrize(
-    "line, complaint",
+    "line, message",
     [
         (b"{\n", "not JSON: "),
         (b"[]\n", "a batch must be an object"),
@@ -32,8 +32,8 @@
         (b'{"ts":0,"serial":"x","inbox":[]}\n', "field 'serial' has the wrong type"),
     ],
 )
-def test_malformed_input_ends_it_with_the_line_and_the_field(line, complaint):
-    done = run(EMPTY_BATCH % 1 + line)
-    assert done.returncode == 2 and done.stdout.count(b"\n") == 1
-    assert done.stderr.decode().startswith(f"havendyke.bench_adapter: line 2: {complaint}")
-    assert done.stderr.count(b"\n") == 1
+def test_exits_on_malformed_input_and_names_the_line_and_field(line, message):
+    finished = run(EMPTY_BATCH % 1 + line)
+    assert finished.returncode == 2 and finished.stdout.count(b"\n") == 1
+    assert finished.stderr.decode().startswith(f"havendyke.bench_adapter: line 2: {message}")
+    assert finished.stderr.count(b"\n") == 1
