--- a/havendyke/events.py
+++ b/havendyke/events.py
@@ -1,20 +1,20 @@
-"""Every event of the log, with its fields and what it means.
+"""The registry of log events: their fields and descriptions.
 
-Nothing at run time imports this: the log's path stays as short as it is. A test holds the source to
-the register, and `docs/operators/events.md` is generated from it.
+The service does not import this module, so that logging needs no lookup. A test compares the
+logging calls in the source with the registry; `docs/operators/events.md` is generated from it.
 """
 
 from typing import NamedTuple
 
 
 class LogEvent(NamedTuple):
-    """What the log's lines of one event say."""
+    """The fields and the description of a log event."""
 
     fields: tuple[str, ...]
     description: str
 
 
-_ROWS: dict[str, tuple[tuple[str, ...], str]] = {
+_DEFINITIONS: dict[str, tuple[tuple[str, ...], str]] = {
     "start": (("name", "listen", "limits"), "the program begins; limits are MB and descriptors"),
     "listening": ((), "connections of collectors and liveness checks are accepted"),
     "listen_failed": (("cause",), "the address is taken or not there; tried again"),
@@ -138,9 +138,9 @@
 }
 
 
-EVENTS = {name: LogEvent(*row) for name, row in _ROWS.items()}
+EVENTS = {name: LogEvent(*definition) for name, definition in _DEFINITIONS.items()}
 
-# Written while all is well; each other event is a warning, which `docs/oncall.md` says more of.
+# Logged in normal operation; every other event is a warning and described in `docs/oncall.md`.
 ROUTINE_EVENTS = frozenset(
     {
         "start",
@@ -163,7 +163,7 @@
 
 
 def render_page() -> str:
-    """The operators' page of all events."""
+    """Renders the operators' page of all events."""
     lines = [
         "# Events of the log",
         "",
--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -1,7 +1,7 @@
-"""A controller whose clock, fleet and observations a test moves, one step of it at a time.
+"""A test harness for the controller: controls its clock, fleet and observations step by step.
 
-Only this module reaches into the controller; tests say what they do in the terms of
-`docs/architecture.md`. A change of the controller's shape changes this module and no test.
+Only this module accesses the controller's internals, so that refactoring the controller changes
+this module and no test. Tests use the terms of `docs/architecture.md`.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 from havendyke.state import rounding_offset as state_rounding_offset
 from havendyke.state.fleet_capacity import FleetCapacity
 
-# What tests import from here and from nowhere else: limits of the decisions, types of the state.
+# Policy limits and state types that tests import from this module only.
 __all__ = [
     "CAUTIOUS_START_MS",
     "CHECKS_PER_SERVER_PER_S",
@@ -69,7 +69,7 @@
 UNANSWERED_CHECKS_TO_EJECT = UNANSWERED_CHECKS_IN_A_ROW
 MAX_SUCCESS_AGE_REPORTS = RECENT_SUCCESS_INTERVALS  # report intervals
 MIN_ZONE_PROXIES = MIN_PEAK_PROXIES
-WARM_UP_LOAD_SHARE = OVERLOAD_SHARE  # of the load that fells a server
+WARM_UP_LOAD_SHARE = OVERLOAD_SHARE  # of the load that overloads a server
 OVERLOADED_REPORTS_TO_MIGRATE = OVERLOADED_INTERVALS
 MIGRATION_INTERVAL_MS = SERVER_INTERVAL_MS
 HANDOVERS_WITHIN_EMPTY_LIMIT = HAND_OVERS_OF_CHOICE
@@ -81,7 +81,7 @@
 
 
 def default_settings(**changes: Any) -> core.Settings:
-    """A deployment of three zones and two request classes, the second one not idempotent."""
+    """A deployment with three zones and two request classes, the second not idempotent."""
     defaults: dict[str, Any] = {
         "request_classes": [
             core.RequestClass(1000.0, 3000.0, idempotency=core.Idempotency.IDEMPOTENT),
@@ -115,10 +115,10 @@
 
 
 class ControllerHarness:
-    """One controller, and what a test does to it and reads from it."""
+    """A controller, with methods to drive and inspect it."""
 
     def __init__(self, settings: core.Settings | None = None, seed: int = 7, **changes: Any):
-        """`changes`: of the default settings, where none are given."""
+        """`changes` are applied to the default settings if `settings` is not given."""
         self.controller = Controller(settings or default_settings(**changes), seed)
         self.controller.observed.now_ms = START_MS
         self.controller.started_ms = START_MS
@@ -126,14 +126,14 @@
 
     @classmethod
     def wrap(cls, controller: Controller) -> ControllerHarness:
-        """The scene of a controller that an adapter made and drives."""
-        scene = cls.__new__(cls)
-        scene.controller = controller
-        return scene
+        """A harness for a controller that an adapter created and drives."""
+        harness = cls.__new__(cls)
+        harness.controller = controller
+        return harness
 
     @classmethod
     def unstarted(cls, settings: core.Settings, seed: int) -> ControllerHarness:
-        """A controller that has yet to reconcile for the first time."""
+        """A controller before its first reconciliation."""
         return cls.wrap(Controller(settings, seed))
 
     # The clock
@@ -149,7 +149,7 @@
         self.controller.observed.now_ms = time_ms
 
     def set_started_long_ago(self) -> None:
-        """The controller has been up long enough to trust what it observed."""
+        """Sets the start far enough back that the controller trusts its observations."""
         self.controller.started_ms = LONG_AGO_MS
 
     def seed_random_numbers(self, value: int) -> None:
@@ -174,46 +174,46 @@
     def proxies(self) -> list[Proxy]:
         return self.controller.proxies
 
-    def add_server(self, ident: str) -> Server:
-        """A server that no endpoint list has named yet."""
-        return self.controller.add_server(ident)
+    def add_server(self, server_id: str) -> Server:
+        """Adds a server that is not in the endpoint list yet."""
+        return self.controller.add_server(server_id)
 
-    def add_slice(self, ident: int) -> Slice:
-        """A slice that no controller is assigned."""
-        return self.controller.add_slice(ident)
+    def add_slice(self, slice_id: int) -> Slice:
+        """Adds a slice that is not assigned."""
+        return self.controller.add_slice(slice_id)
 
-    def add_proxy(self, ident: int | str) -> Proxy:
-        """A proxy that is not connected."""
-        return self.controller.add_proxy(ident)
+    def add_proxy(self, proxy_id: int | str) -> Proxy:
+        """Adds a proxy that is not connected."""
+        return self.controller.add_proxy(proxy_id)
 
     def add_servers(self, count: int, started_ms: float | None = None) -> list[Server]:
-        """Ready servers that the endpoint list names, in zones 0, 1, 2 in turn."""
+        """Adds listed, ready servers, in zones 0, 1, 2 by turns."""
         servers = [self.add_server(f"s{len(self.servers)}") for _ in range(count)]
         self.list_servers(servers, started_ms=started_ms, zones=3)
         self.set_list_received(True)
         return servers
 
     def add_slices(self, primaries: Iterable[Server]) -> list[Slice]:
-        """Assigned slices, numbered from 0, whose published tables name these servers alone."""
+        """Adds assigned slices with ids from 0, each published with one of these servers."""
         slices = []
-        for ident, primary in enumerate(primaries):
-            slice_ = self.add_slice(ident)
+        for slice_id, primary in enumerate(primaries):
+            slice_ = self.add_slice(slice_id)
             self.assign(slice_)
             self.restore_entry(slice_, primary)
             slices.append(slice_)
         return slices
 
     def connect_proxies(self, count: int) -> list[Proxy]:
-        """Connected proxies of zone 0."""
-        proxies = [self.add_proxy(ident) for ident in range(count)]
+        """Adds connected proxies in zone 0."""
+        proxies = [self.add_proxy(proxy_id) for proxy_id in range(count)]
         for proxy in proxies:
             self.connect(proxy)
         return proxies
 
-    # Events, applied without a reconciliation
+    # Events, applied without reconciliation
 
     def observe(self, event: core.Event) -> None:
-        """Applies one event and decides nothing."""
+        """Applies one event without reconciling."""
         self.controller._apply([event])
 
     def list_servers(
@@ -225,7 +225,7 @@
         scope: core.ListScope = core.ListScope.CHANGES,
         start_confirmed: bool = True,
     ) -> None:
-        """The endpoint list names these servers, in zones 0 to `zones` - 1 in turn."""
+        """Applies an endpoint list of these servers, in zones 0 to `zones` - 1 by turns."""
         entries = [
             core.EndpointEntry(
                 server, state, started_ms, number % zones, 0, 0, 1.0, start_confirmed
@@ -238,7 +238,7 @@
         self.observe(core.SliceAssignment(slice_, assigned))
 
     def restore_entry(self, slice_: Slice, server: Server, weight: float = 1.0) -> None:
-        """The store's snapshot has this entry in the slice's table."""
+        """Applies a snapshot entry of the slice's table."""
         self.observe(core.SnapshotEntry(slice_, server, weight))
 
     def connect(
@@ -260,11 +260,11 @@
     def report_server(
         self, server: Server, attempts: int, failures: int = 0, latency_ms: float = 100.0
     ) -> None:
-        """The proxies of zone 0 report their last second's attempts at a server."""
+        """The proxies of zone 0 report attempts at a server during the last second."""
         self.observe(core.ServerLoadReport(server, 0, attempts, failures, latency_ms, 1000.0))
 
     def report_slice(self, slice_: Slice, requests: int) -> None:
-        """Requests of class 0 came for a slice within the last second."""
+        """Reports requests of class 0 for a slice during the last second."""
         self.observe(core.SliceLoadReport(slice_, 0, requests, 0, 1000.0))
 
     def report_health_check(
@@ -273,59 +273,61 @@
         self.observe(core.HealthCheckResult(server, outcome, latency_ms))
 
     def report_in_flight(self, server: Server, requests: int) -> None:
-        """A server says how many requests it has in flight; its record of checks stays."""
+        """A server reports its requests in flight; its health check counts do not change."""
         load = core.ServerLoad(in_flight=requests)
         self.controller.observed._count_in_flight(server, load)
 
-    # The steps of a reconciliation
+    # Steps of a reconciliation
 
     def reconcile(self, events: Sequence[core.Event] = ()) -> list[core.Order]:
-        """All steps, as an adapter calls them."""
+        """Runs all steps, as an adapter does."""
         return self.controller.reconcile(self.now_ms, events)
 
     def mark_ejections_unconfirmed(self) -> None:
-        """After proxies connected: they may not know which servers are ejected."""
+        """Marks ejections as unconfirmed if proxies have reconnected."""
         self.controller.observed.mark_ejections_unconfirmed()
 
     def evaluate_health(self) -> None:
-        """Fleet condition, zone loss, outlier detection and each server's health."""
+        """Evaluates fleet condition, zone loss, outlier detection and each server's health."""
         self.controller.assess_health()
 
     def adjust_admission(self) -> None:
         self.controller.adjust_admission()
 
     def estimate_connections(self) -> None:
-        """The share of the servers' connections in use, and the controllers that share a server."""
+        """Estimates connection usage and the number of controllers that share a server."""
         observed, planner = self.controller.observed, self.controller.planner
         ready = observed.ready_servers()
         planner.connections.update(observed.proxies, len(ready))
         planner.pace.update(observed.proxies, len(ready))
 
     def estimate_demand(self, slices: Sequence[Slice]) -> None:
-        """The slices' demand, and each server's assigned load."""
-        c = self.controller
-        total = c.planner.demand.update(slices, c.servers, self.now_ms)
-        c.planner.limits.update(c.servers, total)
-        c.planner.slow_start.update(c.observed.ready_servers(), total, c.condition, c._age_ms)
+        """Estimates the slices' demand and each server's assigned load."""
+        controller = self.controller
+        total = controller.planner.demand.update(slices, controller.servers, self.now_ms)
+        controller.planner.limits.update(controller.servers, total)
+        controller.planner.slow_start.update(
+            controller.observed.ready_servers(), total, controller.condition, controller._age_ms
+        )
 
     def plan(self) -> None:
-        """The desired tables of all assigned slices."""
+        """Plans the desired tables of all assigned slices."""
         self.controller.plan_tables()
 
     def plan_shared_tables(self) -> None:
-        """The desired tables of a deployment that has no slices."""
+        """Plans the shared tables of a deployment without slices."""
         self.controller.shared_tables.plan(self.servers)
 
     def migrate(self, slice_: Slice, target: Server) -> None:
         self.controller.planner.migrator.migrate(slice_, target, self.now_ms)
 
     def ramp_up_recovered(self, slices: Sequence[Slice]) -> None:
-        """Gives slices to servers that came back."""
+        """Migrates slices to servers that have recovered."""
         self._update_pace()
         self.controller.planner.recovery.refill(slices, self.servers, self.now_ms)
 
     def rebalance(self) -> None:
-        """Moves slices off overloaded servers."""
+        """Migrates slices away from overloaded servers."""
         self._update_pace()
         observed, planner = self.controller.observed, self.controller.planner
         planner.rebalancer.run(
@@ -337,23 +339,23 @@
         self.controller.planner.pace.update(observed.proxies, len(observed.ready_servers()))
 
     def emit(self) -> list[core.Order]:
-        """The push that is due, if one is."""
+        """The orders of the push, if one is due."""
         return self.controller.emit_push()
 
-    def ejection_orders(self, room: float = 50, room_for_choice: float = 50) -> list[core.Order]:
-        """The orders that eject and unject servers, at the end of a push with so much room."""
-        budget = PushBudget(room_for_choice, room)
+    def ejection_orders(self, urgent: float = 50, ordinary: float = 50) -> list[core.Order]:
+        """The orders that eject and uneject servers, within this budget of entries per proxy."""
+        budget = PushBudget(ordinary, urgent)
         return self.controller.pushes._ejection.orders(
             self.servers, self.slices, self.now_ms, budget, 0, True
         )
 
     def table_difference(self, slice_: Slice) -> tuple[list[core.Order], dict[Server, float]]:
-        """The orders that bring a slice nearer to its desired table, and the table after them."""
+        """The orders that bring a slice closer to its desired table, and the resulting table."""
         change = self.controller.pushes._diff.change(slice_, self.now_ms)
         return change.orders, change.published
 
     def push_order(self, slices: Iterable[Slice]) -> list[Slice]:
-        """The slices in the order in which a push takes them up."""
+        """The slices in the order in which a push changes them."""
         return sorted(slices, key=order_of_change)
 
     def admission_orders(self) -> list[core.SetAdmission]:
@@ -361,11 +363,11 @@
 
     @property
     def retry_policies(self) -> list[core.RetryPolicy]:
-        """The retry policies of the admission orders."""
+        """The retry policies in the admission orders."""
         return [order.retry_policy for order in self.admission_orders()]
 
     def request_observations(self) -> list[core.Order]:
-        """The health checks that are due, and the request for the endpoint list if it is."""
+        """The orders for due health checks and for the endpoint list."""
         return self.controller.check_health()
 
     # The fleet's condition
@@ -388,12 +390,12 @@
 
     @property
     def baseline_load(self) -> float:
-        """The load that a server with its full guaranteed capacity may have while warming up."""
+        """The load that a warming-up server with full guaranteed capacity may have."""
         return self.controller.planner.slow_start.load_per_capacity
 
     @property
     def overload_factor(self) -> float:
-        """The multiple of its load that fells a server which warms up."""
+        """The multiple of its usual load above which a warming-up server fails."""
         return self.controller.planner.slow_start._overload_factor
 
     @property
@@ -402,23 +404,23 @@
 
     @property
     def controllers_per_server(self) -> float:
-        """The controllers that hold slices of one server."""
+        """The number of controllers with slices at the same server."""
         return self.controller.planner.pace.controllers_per_server
 
     def set_list_received(self, received: bool) -> None:
-        """Whether an endpoint list that is not a cached one has come."""
+        """Whether an endpoint list other than a cached one was received."""
         self.controller.observed.endpoint_list_received = received
 
     def set_fleet_last_success(self, time_ms: float) -> None:
-        """When any server was last reported to have completed an attempt."""
+        """When an attempt at any server was last reported successful."""
         self.controller.observed.last_success_ms = time_ms
 
     def set_last_disconnect(self, time_ms: float) -> None:
-        """When a proxy last lost its stream."""
+        """When a proxy last disconnected."""
         self.controller.observed.last_disconnect_ms = time_ms
 
     def assume_demand_reported(self) -> None:
-        """Requests count as reported, whatever the estimate of demand found."""
+        """Treats demand as reported, whatever its estimate found."""
         self.controller.planner.demand.observed = True
 
     # Servers
@@ -433,7 +435,7 @@
         return [s for s in self.servers if self.health(s) is HealthState.WARMING_UP]
 
     def listed_state(self, server: Server) -> core.ServerState | None:
-        """Its state in the endpoint list; None before any list names it."""
+        """Its state in the endpoint list; None before it is first listed."""
         return server.state
 
     def set_listed_state(self, state: core.ServerState, *servers: Server) -> None:
@@ -450,11 +452,11 @@
         server.started_ms = time_ms
 
     def start_is_assumed(self, server: Server) -> bool:
-        """Whether its start time comes from a cached list alone."""
+        """Whether its start time is known from a cached list only."""
         return server.start_assumed
 
     def unhealthy_until(self, server: Server) -> float | None:
-        """When its ejection time ends; None while it is not an outlier."""
+        """When its ejection time ends; None if it is not an outlier."""
         return server.unhealthy_until_ms
 
     def is_outlier(self, server: Server) -> bool:
@@ -482,7 +484,7 @@
         server.last_check_ms = time_ms
 
     def is_recovering(self, server: Server) -> bool:
-        """Whether it came back and is yet to get its slices."""
+        """Whether it has recovered but does not have its slices yet."""
         return server.recovering
 
     def set_recovering(self, *servers: Server) -> None:
@@ -506,15 +508,15 @@
         return server.assigned_slices
 
     def set_relative_latency(self, server: Server, ratio: float) -> None:
-        """Its latency against the fleet's median, as the next decisions see it."""
+        """Its latency relative to the fleet's median."""
         server.relative_latency = ratio
 
     def set_overloaded_reports(self, server: Server, count: int) -> None:
-        """Consecutive report intervals in which it was overloaded."""
+        """The number of consecutive report intervals in which it was overloaded."""
         server.overloaded_intervals = count
 
     def keep_overloaded_reports(self) -> None:
-        """The next rebalancing leaves the counts of overloaded report intervals as they are."""
+        """Keeps the next rebalancing from updating the counts of overloaded intervals."""
         self.controller.planner.rebalancer._interval_began_ms = self.now_ms
 
     def last_migration_from(self, server: Server) -> float:
@@ -524,21 +526,21 @@
         server.last_slice_released_ms = time_ms
 
     def set_migration_budget(self, slices: float) -> None:
-        """The migrations by choice that the next push has room for."""
+        """The number of optional migrations in the next push."""
         self.controller.planner.migrator.budget = slices
 
     def set_ejected(self, *servers: Server) -> None:
-        """The proxies hold an ejection of these servers."""
+        """Marks the servers as ejected at the proxies."""
         for server in servers:
             server.ejected = True
 
     def set_ejected_before(self, *servers: Server) -> None:
-        """The servers were ejected at some time."""
+        """Marks the servers as ejected at some time in the past."""
         for server in servers:
             server.ever_ejected = True
 
     def ejection_is_unconfirmed(self, server: Server) -> bool:
-        """Whether some proxies may not know if the server is ejected."""
+        """Whether some proxies may not know whether the server is ejected."""
         return server.ejection_unconfirmed
 
     # Slices
@@ -547,7 +549,7 @@
         return slice_.primary()
 
     def slices_with_primary(self, server: Server, slices: Iterable[Slice]) -> int:
-        """How many of the slices have this primary."""
+        """The number of slices with this primary."""
         return sum(self.primary(slice_) is server for slice_ in slices)
 
     def desired(self, slice_: Slice) -> dict[Server, float]:
@@ -563,19 +565,19 @@
         slice_.published = dict(table)
 
     def publish_desired(self) -> None:
-        """All desired tables reach the proxies."""
+        """Makes all desired tables the published ones."""
         for slice_ in self.slices:
             self.set_published(slice_, slice_.desired)
 
     def has_all_entries(self, slice_: Slice) -> bool:
-        """Whether the published table has each entry of the desired one."""
+        """Whether the published table contains all entries of the desired one."""
         return slice_.is_published()
 
     def demand(self, slice_: Slice) -> float:
         return slice_.demand
 
     def add_requests(self, slice_: Slice, requests: float) -> None:
-        """Requests of class 0 in the slice's own histogram, and in no sum of the fleet."""
+        """Counts requests of class 0 for the slice, but not in the fleet's totals."""
         slice_.requests.add(0, requests)
 
     def set_assigned_at(self, slice_: Slice, time_ms: float) -> None:
@@ -589,42 +591,42 @@
         self._update_pace()
         return self.controller.planner.pace.is_settled(slice_)
 
-    def set_last_push(self, slice_: Slice, push: int | None) -> None:
-        """The number of the push that last changed its table; None: a change waits for one."""
-        slice_.last_push_serial = push
+    def set_last_push(self, slice_: Slice, serial: int | None) -> None:
+        """The serial of the push that last changed its table; None: a change is pending."""
+        slice_.last_push_serial = serial
 
     def clearing_push_is_unacknowledged(self, slice_: Slice) -> bool:
         """Whether a proxy has yet to acknowledge the push that cleared its table."""
         return bool(slice_.clearing_push.awaiting_proxies)
 
     def count_settled_queries(self) -> Counter[int]:
-        """Counts, by slice, how often a step from now on asks whether the slice is settled."""
+        """Counts by slice id how often steps query whether the slice is settled from now on."""
         queries: Counter[int] = Counter()
         pace = self.controller.planner.pace
         is_settled = pace.is_settled
 
-        def counted(slice_: Slice) -> bool:
+        def count_query(slice_: Slice) -> bool:
             queries[slice_.id] += 1
             return is_settled(slice_)
 
-        pace.is_settled = counted
+        pace.is_settled = count_query
         return queries
 
     def forbid_iteration_over_slices(self) -> None:
-        """A step that goes through all slices raises from now on."""
+        """Makes any step that iterates over all slices raise from now on."""
         self.controller.observed.slices = _NotIterable(self.slices)
 
     # Proxies and pushes
 
     def acknowledged_push(self, proxy: Proxy) -> int:
-        """The number of the last push that a proxy has acknowledged."""
+        """The serial of the last push that a proxy has acknowledged."""
         return proxy.acknowledged_serial
 
-    def set_acknowledged_push(self, proxy: Proxy, push: int) -> None:
-        proxy.acknowledged_serial = push
+    def set_acknowledged_push(self, proxy: Proxy, serial: int) -> None:
+        proxy.acknowledged_serial = serial
 
     def request_rate(self, proxy: Proxy) -> float:
-        """Requests a second that a proxy is expected to bring."""
+        """The expected requests per second of a proxy."""
         return proxy.request_rate
 
     def set_request_rate(self, proxies: Iterable[Proxy], requests_per_s: float) -> None:
@@ -636,7 +638,7 @@
 
     @property
     def push_count(self) -> int:
-        """The pushes that have gone out."""
+        """The number of pushes sent."""
         return self.controller.observed.channel.last_serial
 
     @push_count.setter
@@ -646,7 +648,7 @@
     def add_unacknowledged_push(
         self, entries_per_proxy: float, proxies: Iterable[Proxy], queued_entries: float
     ) -> None:
-        """The first push has just gone out, and with it so many entries wait in the channel."""
+        """Adds the first push, sent just now, with this many entries queued in the channel."""
         channel = self.controller.observed.channel
         now_ms = self.now_ms
         channel.pushes.append(Push(1, entries_per_proxy, set(proxies), now_ms, now_ms))
@@ -658,99 +660,101 @@
         return any(push.awaiting_proxies for push in self.controller.observed.channel.pushes)
 
     def queued_entries(self) -> float:
-        """The estimate of the entries that wait in the channel."""
+        """The estimated number of entries queued in the channel."""
         pushes = self.controller.pushes
         return self.controller.observed.channel.estimate_queue(
             self.proxies, self.now_ms, pushes._push_delay_ms, pushes._slowest_entries_per_ms
         )
 
     def assume_queued_share(self, share: float) -> None:
-        """From now on the channel holds this share of the half that pushes may fill."""
+        """Fixes the estimated queue at this share of the soft queue limit."""
         queued = share * self.controller.pushes.costs.soft_queue_limit
         self.controller.observed.channel.estimate_queue = lambda *_: queued
 
     def set_queue_unlimited(self) -> None:
-        """Pushes have room for all that there is to publish."""
+        """Lifts the queue limit, so that pushes can publish everything."""
         self.controller.pushes.costs.soft_queue_limit = 1e9
 
     def set_next_push_in(self, delay_ms: float) -> None:
-        """When the next push by interval is due."""
+        """Sets when the next push is due by its interval."""
         self.controller.pushes._next_push_ms = self.now_ms + delay_ms
 
 
 class _NotIterable(list[Slice]):
     def __iter__(self) -> Iterator[Slice]:
-        raise AssertionError("a step went through all slices")
+        raise AssertionError("a step iterated over all slices")
 
 
 class FleetCapacityHarness:
-    """The fleet's capacity at its largest, as servers come and go."""
+    """The fleet's peak capacity as servers start and stop."""
 
     def __init__(self) -> None:
-        self._fleet = FleetCapacity()
+        self._fleet_capacity = FleetCapacity()
 
     def observe(self, healthy: int, warming_up: int) -> None:
-        """So many servers of size 1 are ready now."""
+        """Observes this many ready servers of size 1."""
         servers = ControllerHarness().add_servers(healthy + warming_up)
         for server in servers[healthy:]:
             server.health = HealthState.WARMING_UP
-        self._fleet.observe(servers)
+        self._fleet_capacity.observe(servers)
 
     @property
     def peak(self) -> float:
-        return self._fleet.peak
+        return self._fleet_capacity.peak
 
 
 def replace_health_evaluation(
     monkeypatch: pytest.MonkeyPatch,
     replacement: Callable[[Controller, Callable[[Controller], None]], None],
 ) -> None:
-    """Every controller calls the replacement with itself and its own evaluation of health."""
+    """Makes every controller call the replacement with itself and the original evaluation."""
     evaluate = Controller.assess_health
-    monkeypatch.setattr(Controller, "assess_health", lambda c: replacement(c, evaluate))
+    monkeypatch.setattr(
+        Controller, "assess_health", lambda controller: replacement(controller, evaluate)
+    )
 
 
 def rounding_offset(server: str, controller_index: int | None, controller_count: int) -> float:
-    """What a controller adds to a server's part before it rounds down to whole slices."""
+    """The offset that a controller adds to its share of a server before rounding down."""
     return state_rounding_offset(Server(server), controller_index, controller_count)
 
 
 def controller_group(
     count: int, servers: int, primaries: Sequence[int], **settings: Any
 ) -> list[ControllerHarness]:
-    """Controllers with the same servers, each with its part of the slices in turn.
+    """Controllers with the same servers; slices are assigned to them by turns.
 
-    `primaries`: each slice's primary, by the server's number.
+    `primaries` contains the index of each slice's primary.
     """
-    scenes = []
+    harnesses = []
     for index in range(count):
-        scene = ControllerHarness(
+        harness = ControllerHarness(
             slice_count=len(primaries),
             controller_count=count,
             controller_index=index,
             **settings,
         )
-        scene.seed_random_numbers(1 + 7919 * index)
-        endpoints = scene.add_servers(servers)
-        for ident in range(index, len(primaries), count):
-            slice_ = scene.add_slice(ident)
-            scene.assign(slice_)
-            scene.restore_entry(slice_, endpoints[primaries[ident]])
-            scene.set_assigned_at(slice_, LONG_AGO_MS)
-            scene.add_requests(slice_, 10.0)
-        scenes.append(scene)
-    return scenes
-
-
-def add_slices_with_demand(scene: ControllerHarness, primaries: Iterable[Server]) -> list[Slice]:
-    """Slices of equal demand that were assigned long ago."""
-    slices = scene.add_slices(primaries)
+        harness.seed_random_numbers(1 + 7919 * index)
+        endpoints = harness.add_servers(servers)
+        for slice_id in range(index, len(primaries), count):
+            slice_ = harness.add_slice(slice_id)
+            harness.assign(slice_)
+            harness.restore_entry(slice_, endpoints[primaries[slice_id]])
+            harness.set_assigned_at(slice_, LONG_AGO_MS)
+            harness.add_requests(slice_, 10.0)
+        harnesses.append(harness)
+    return harnesses
+
+
+def add_slices_with_demand(harness: ControllerHarness, primaries: Iterable[Server]) -> list[Slice]:
+    """Adds slices of equal demand that were assigned long ago."""
+    slices = harness.add_slices(primaries)
     for slice_ in slices:
-        scene.set_assigned_at(slice_, LONG_AGO_MS)
-        scene.add_requests(slice_, 10.0)
+        harness.set_assigned_at(slice_, LONG_AGO_MS)
+        harness.add_requests(slice_, 10.0)
     return slices
 
 
 def servers_in_zone(servers: Iterable[Server], zone: int) -> list[Server]:
-    """The servers of one zone."""
+    """The servers in a zone."""
     return [server for server in servers if server.zone == zone]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""An assigner on an event loop that the test moves, and what its peers send."""
+"""An assigner on an event loop that the test advances, and messages of its peers."""
 
 import orjson
 
@@ -32,7 +32,7 @@
 }
 
 
-def raw_config(**more):
+def raw_config(**changes):
     return {
         "name": "n1",
         "listen": "127.0.0.1:8443",
@@ -40,12 +40,12 @@
         "seed": "8c1f",
         "distributor": {"address": "127.0.0.1:6400"},
         "settings": SETTINGS,
-    } | more
+    } | changes
 
 
-def listed_server(ident, state="in_service", **more):
+def listed_server(server_id, state="in_service", **changes):
     return {
-        "uid": ident,
+        "uid": server_id,
         "endpoint": "127.0.0.9:80",
         "az": "a",
         "model": "m2",
@@ -53,15 +53,19 @@
         "state": state,
         "capacity_hint": 1.0,
         "boot_ms": 0,
-    } | more
+    } | changes
 
 
-def complete_list(*idents, rev=1, full=True):
-    return {"rev": rev, "all": full, "targets": [listed_server(i) for i in idents]}
+def complete_list(*server_ids, rev=1, complete=True):
+    return {
+        "rev": rev,
+        "all": complete,
+        "targets": [listed_server(server_id) for server_id in server_ids],
+    }
 
 
 def feed(connection, data):
-    """Bytes, or messages of the relay."""
+    """Delivers bytes, or a list of relay messages, to a connection."""
     lab.feed(
         connection,
         data if isinstance(data, bytes) else b"".join(orjson.dumps(d) + b"\n" for d in data),
@@ -69,14 +73,14 @@
 
 
 def make_assigner(**limits):
-    """An assigner on a hub of the test's own, its discovery and relay not yet up."""
-    hub = FakeEventLoop(**{"news_streams": 1} | limits)  # a test opens further ones itself
+    """An assigner on its own event loop, before discovery and the relay have answered."""
+    event_loop = FakeEventLoop(**{"news_streams": 1} | limits)  # a test opens more itself
     return Assigner(
-        config.read_config(raw_config(known=complete_list("s1", "s2", "s3")), {}), hub
-    ), hub
+        config.read_config(raw_config(known=complete_list("s1", "s2", "s3")), {}), event_loop
+    ), event_loop
 
 
-# Messages of the relay and of discovery, and what comes of them.
+# Messages of the relay and of discovery, and their effects.
 
 PROXY_CONNECTED = {
     "method": "SUBSCRIBE",
@@ -94,7 +98,7 @@
 
 
 def table_entry(server_id, weight):
-    """The relay's notification of an entry in the table of the slice that `GRANT` assigns."""
+    """The relay's notification of a table entry, in the slice of `SLICE_ASSIGNED`."""
     return {"method": "ROW", "params": {"partition": 4, "host": server_id, "share": weight}}
 
 
@@ -105,30 +109,30 @@
 
 
 def suspend_reconciliation(assigner):
-    """Turns are left out: what the front tells stays in the inbox."""
+    """Suppresses reconciliations, so that events remain pending."""
     assigner.reconcile_pending = True
     return assigner
 
 
-def open_watch_stream(assigner, hub, *news):
-    """One connection with news, on which this stands."""
+def open_watch_stream(assigner, event_loop, *notifications):
+    """Opens a relay watch stream that reports these notifications and is synchronized."""
     assigner.relay.watch.add_stream()
-    feed(hub.open("relay_watch"), [SUCCESS_REPLY, *news])
-    hub.pass_time(100)
+    feed(event_loop.open("relay_watch"), [SUCCESS_REPLY, *notifications])
+    event_loop.pass_time(100)
 
 
-def snapshot_stream(hub):
-    """The newest stream that was opened for a snapshot, brought up."""
-    hub.open("relay_watch")
+def snapshot_stream(event_loop):
+    """Opens the connection of the latest stream for a snapshot and returns it."""
+    event_loop.open("relay_watch")
     return [
         c
-        for c in hub.made
+        for c in event_loop.made
         if c.peer.name == "relay_watch" and c.peer.purpose is StreamPurpose.SNAPSHOT and not c.over
     ][-1]
 
 
 def sent_orders(connection):
-    """The orders of the calls that went out on a connection, and the last call's number."""
+    """The orders of each call sent on a connection, and the last call's id."""
     calls = [orjson.loads(text) for text in connection.transport.written.splitlines()]
     return [c["params"]["orders"] for c in calls], calls[-1]["id"]
 
@@ -161,27 +165,27 @@
 
 
 def connect_client(assigner):
-    made = assigner.collectors.accept()
-    made.connection_made(StubTransport())
-    return made
+    client = assigner.collectors.accept()
+    client.connection_made(StubTransport())
+    return client
 
 
-def parse_in_parts(make, data, cuts):
-    buffer, found = Buffer(16, 4096), []
-    parser = make(buffer, 4096)
+def parse_in_parts(make_parser, data, cuts):
+    buffer, items = Buffer(16, 4096), []
+    parser = make_parser(buffer, 4096)
     for part in [data[a:b] for a, b in zip([0, *cuts], [*cuts, len(data)], strict=True)]:
-        while part:  # as a socket does: no more than the room there is, then the parser's turn
-            room = buffer.free_space()
-            count = min(len(room), len(part))
-            room[:count] = part[:count]
+        while part:  # like a socket: at most the free space is filled before the parser runs
+            free_space = buffer.free_space()
+            count = min(len(free_space), len(part))
+            free_space[:count] = part[:count]
             buffer.end += count
             part = part[count:]
             while (item := parser.next()) is not None:
-                found.append(
+                items.append(
                     [bytes(i) for i in item]
                     if isinstance(item, list)
                     else bytes(item)
                     if isinstance(item, memoryview)
                     else item
                 )
-    return found
+    return items
