--- a/havendyke/interface/settings.py
+++ b/havendyke/interface/settings.py
@@ -64,9 +64,7 @@
     request_classes: Sequence[RequestClass]
     zone_count: int = 1
     slice_count: int = 0  # 0: proxies are bound to tables instead
-    exclusive_ownership: bool = (
-        False  # a slice has at most one server at a time, across all proxies
-    )
+    exclusive_ownership: bool = False  # at most one server per slice at a time, at all proxies
     lease_ms: float = 0.0  # exclusive ownership: how long a disconnected proxy uses its table
     max_write_in_flight_ms: float = 0.0  # longest time that a write stays in flight
     max_empty_table_ms: float = 0.0  # how long a slice may be without endpoint; 0: not stated
--- a/havendyke/state/rendezvous.py
+++ b/havendyke/state/rendezvous.py
@@ -12,7 +12,7 @@
 
 DIGEST_BYTES = 7
 DIGEST_RANGE = 1 << 8 * DIGEST_BYTES
-# A stride near this fraction of the range spreads the offsets of successive controllers.
+# A stride near this fraction of the count keeps the offsets of successive controllers far apart.
 GOLDEN_RATIO = 0.618
 
 
@@ -39,7 +39,7 @@
         for candidate in range(max(1, int(GOLDEN_RATIO * controller_count)), controller_count + 1)
         if gcd(candidate, controller_count) == 1
     )
-    # Must be the same at all controllers, so a change has to be deployed to all at once.
+    # All controllers must use the same `person`: a change has to reach all of them at once.
     digest = blake2b(server.hash_key, digest_size=DIGEST_BYTES, person=b"turn").digest()
     first_position = int.from_bytes(digest)
     return (first_position + stride * controller_index) % controller_count / controller_count
--- a/havendyke/state/server.py
+++ b/havendyke/state/server.py
@@ -59,9 +59,8 @@
         self.hash_key = str(server_id).encode()
         # From the endpoint list. State None: known from a published table, but not yet listed.
         self.state: ServerState | None = None
-        self.not_ready_since_ms: float | None = (
-            None  # when the list first reported it draining or gone
-        )
+        # When the list first reported it draining or gone.
+        self.not_ready_since_ms: float | None = None
         self.started_ms: float | None = None
         self.start_assumed = False  # the start time comes from a cached list
         self.zone = 0
@@ -86,7 +85,7 @@
         self.zone_lost_ms = LONG_AGO_MS
         # `server_capacity`
         self.health = UNAVAILABLE
-        self.relative_latency = 1.0  # relative to the median of all servers
+        self.relative_latency = 1.0  # to the median of all servers
         self.capacity = 0.0
         self.guaranteed_capacity = 0.0
         # `demand` and `migration`: the slices whose primary it is, and their load.
@@ -112,7 +111,7 @@
             histogram.halve()
 
     def warm_up_progress(self, now_ms: float, warm_up_ms: float, initial_share: float) -> float:
-        """The least share of its capacity that the server has, from `initial_share` to 1."""
+        """A lower bound of the share of its capacity that the server has reached by now."""
         started_ms = self.started_ms if self.started_ms is not None else LONG_AGO_MS
         # A start time in the future, due to clock skew, counts as now.
         elapsed = (now_ms - max(self.zone_lost_ms, started_ms)) / max(warm_up_ms, 1.0)
--- a/havendyke/state/slice.py
+++ b/havendyke/state/slice.py
@@ -46,7 +46,7 @@
         return max(self.desired, key=self.desired.__getitem__) if self.desired else None
 
     def is_published(self) -> bool:
-        """Whether all desired entries are published; the published table may have others too."""
+        """Whether each desired entry is published with its weight; others may be published too."""
         published = self.published
         return all(published.get(server) == weight for server, weight in self.desired.items())
 
