--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -68,7 +68,9 @@
 
 def at(hub, name, host):
     """The open connections of these peers at an address, brought up."""
-    made = [c for c in hub.made if c.peer.name == name and not c.over and c.address[0] == host]
+    made = [
+        c for c in hub.connections if c.peer.name == name and not c.over and c.address[0] == host
+    ]
     for c in made:
         if c.transport is None:
             c.connection_made(Transport())
@@ -90,11 +92,11 @@
     assert not old.over
     (new,) = at(hub, "relay_watch", "127.0.0.2")
     feed(new, [TRUE, SUB, GRANT, ROW])
-    hub.pass_time(100)
+    hub.run_for(100)
     assert not old.over
-    hub.pass_time(1000)
+    hub.run_for(1000)
     hub.run()
-    assert [c for c in hub.made if c.peer.name == "relay_watch" and not c.over] == [new]
+    assert [c for c in hub.connections if c.peer.name == "relay_watch" and not c.over] == [new]
     assert [type(e).__name__ for e in told(assigner)] == ["PushAcknowledged"]
     feed(new, [LEFT])
     assert [type(e).__name__ for e in told(assigner)] == ["ProxyDisconnected"]
@@ -107,9 +109,9 @@
     (old,) = at(hub, "relay_watch", "127.0.0.1")
     reload(assigner)
     feed(at(hub, "relay_watch", "127.0.0.2")[0], [TRUE, SUB, GRANT, ROW])
-    hub.pass_time(100)
+    hub.run_for(100)
     old.close("ended")
-    hub.pass_time(1000)
+    hub.run_for(1000)
     assert told(assigner) == []
 
 
@@ -128,7 +130,7 @@
         feed(old, [{"id": sent(old)[1], "result": {"taken": 1}}])
     elif ends == "broken":
         old.close("reset")
-        hub.pass_time(900)
+        hub.run_for(900)
     (new,) = at(hub, "relay", "127.0.0.2")
     hub.run()
     assert old.over and [o["table"] for o in sent(new)[0][-1]] == (
@@ -154,7 +156,7 @@
     feed(watch, answer({"rev": 4, "all": False, "targets": [listed("s1", "terminating")]}))
     feed(whole, answer(whole_list("s1", rev=4), chunked=False))
     assert [e.scope for e in told(assigner, core.EndpointListUpdate)] == ["complete"]
-    hub.pass_time(600)
+    hub.run_for(600)
     hub.run()
     assert old.over and not watch.over and assigner.discovery.queries == [watch.peer]
 
@@ -210,7 +212,7 @@
         discovery.check()
     watch.close("reset")  # discovery itself may have gone, and begun its versions anew
     if lost == "before the look":
-        hub.pass_time(400)
+        hub.run_for(400)
     feed(whole_of(hub), old)
     assert discovery.version == 2
 
