--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,9 +3,9 @@
 import orjson
 
 from havendyke import config
-from havendyke.lab import hub as lab
-from havendyke.lab.hub import LabHub as FakeEventLoop
-from havendyke.lab.hub import Transport  # noqa: F401  for the tests
+from havendyke.lab import event_loop as lab
+from havendyke.lab.event_loop import SimulatedEventLoop as FakeEventLoop
+from havendyke.lab.event_loop import Transport  # noqa: F401  for the tests
 from havendyke.net.assigner import Assigner
 from havendyke.net.buffer import Buffer
 from havendyke.net.relay_orders import WeightOrder
@@ -118,7 +118,7 @@
     """Opens a relay watch stream that reports these notifications and is synchronized."""
     assigner.relay.watch.add_stream()
     feed(event_loop.open("relay_watch"), [SUCCESS_REPLY, *notifications])
-    event_loop.pass_time(100)
+    event_loop.run_for(100)
 
 
 def snapshot_stream(event_loop):
@@ -126,7 +126,7 @@
     event_loop.open("relay_watch")
     return [
         c
-        for c in event_loop.made
+        for c in event_loop.connections
         if c.peer.name == "relay_watch" and c.peer.purpose is StreamPurpose.SNAPSHOT and not c.over
     ][-1]
 
