--- a/fuzz/targets/values.py
+++ b/fuzz/targets/values.py
@@ -334,7 +334,9 @@
             continue  # no JSON reader would pass it on
         before = len(spoilt)
         try:
-            received = assigner.messages.endpoint_list.decode(told, on_invalid_entry=spoilt.append)
+            received = assigner.peer_codecs.endpoint_list.decode(
+                told, on_invalid_entry=spoilt.append
+            )
         except FieldError:
             continue
         event, version = received.event, received.version
@@ -350,7 +352,7 @@
         # The same start is the same time, whatever the clock does meanwhile.
         for e in {e.server: e for e in event.entries}.values():  # named twice, the last one counts
             hub.time += 7
-            lists = assigner.messages.endpoint_list
+            lists = assigner.peer_codecs.endpoint_list
             again = lists.start_ms(e.server, lists.start_times[e.server].unix_ms)
             hold(again == e.started_ms, "a start moved from", e.started_ms, "to", again)
 
@@ -432,7 +434,7 @@
     while not draw.over:
         if not relay.call:
             serial += 1
-            relay.order(
+            relay.enqueue(
                 [
                     WeightOrder(1, f"s{serial}", 1.0),
                     AcknowledgementOrder(serial % 65536, all_proxies=False),
--- a/havendyke/net/assigner.py
+++ b/havendyke/net/assigner.py
@@ -23,7 +23,7 @@
 from .event_loop import EventLoop
 from .fleet_summary import FleetSummary
 from .health_checks import HealthChecker
-from .messages import Messages
+from .peer_codecs import PeerCodecs
 from .relay_client import RelayClient
 from .relay_orders import RelayOrder, requested_nonce
 from .resource_usage import resource_usage
@@ -56,19 +56,19 @@
         self.event_loop = event_loop
         self.config = config
         self.registry = ObjectRegistry(config.settings, config.seed)
-        self.messages = Messages(config, self.registry, event_loop.wall, event_loop.now)
-        self.relay = RelayClient(event_loop, config.relay, self.messages, self.notify)
+        self.peer_codecs = PeerCodecs(config, self.registry, event_loop.wall, event_loop.now)
+        self.relay = RelayClient(event_loop, config.relay, self.peer_codecs, self.notify)
         self.reconcile_pending = False
         self.timers_running = 0
         self._config_at_start = config
         self._durable = durable
         list_version = self._load_endpoint_list()
         self.discovery = Discovery(
-            event_loop, config.discovery, self.messages, self.notify, list_version, config.seed
+            event_loop, config.discovery, self.peer_codecs, self.notify, list_version, config.seed
         )
-        self.collectors = Collectors(event_loop, self.messages, self.notify)
+        self.collectors = Collectors(event_loop, self.peer_codecs, self.notify)
         path = "/stats" if config.wire_names.reports else "/health/live"
-        self.health_checker = HealthChecker(event_loop, self.messages, self.notify, path)
+        self.health_checker = HealthChecker(event_loop, self.peer_codecs, self.notify, path)
         self._fleet_summary = FleetSummary(event_loop, self.registry.controller)
 
     def start(self) -> None:
@@ -86,7 +86,7 @@
         """
         old, self.config = self.config, config
         if config.relay != old.relay:
-            self.relay.move(config.relay)
+            self.relay.set_address(config.relay)
         if config.discovery != old.discovery:
             self.discovery.move(config.discovery)
         after_restart = [
@@ -109,7 +109,7 @@
         """
         limits = self.event_loop.limits
         departed = self.registry.forget_departed(limits.forgotten)
-        self.messages.endpoint_list.forget(departed)
+        self.peer_codecs.endpoint_list.forget(departed)
         self.health_checker.forget(departed)
         self.event_loop.count("servers_forgotten", len(departed))
         self.event_loop.after(limits.sweep, self.forget_departed)
@@ -150,7 +150,7 @@
                 self._start_timer(order)
             elif isinstance(order, SendHealthCheck):
                 self.health_checker.check(order.server)
-            elif (relay_order := self.messages.relay.relay_order(order)) is not None:
+            elif (relay_order := self.peer_codecs.relay.relay_order(order)) is not None:
                 for_relay.append(relay_order)
                 self.event_loop.count(f"orders_{type(order).__name__}")
             elif not isinstance(order, RequestEndpointList):  # discovery is always followed
@@ -159,7 +159,7 @@
         if for_relay:
             nonce = requested_nonce(for_relay)
             self.event_loop.log("push", orders=len(for_relay), nonce=nonce)
-            self.relay.order(for_relay)
+            self.relay.enqueue(for_relay)
 
     def counters(self) -> dict[str, float]:
         """All counters by name, with what the process uses; read for SIGUSR1 and at the end."""
@@ -183,14 +183,14 @@
         """
         config = self.config
         recovered = self._durable and self._durable.attach(
-            self.registry, self.messages.endpoint_list, config.settings.warm_up_ms
+            self.registry, self.peer_codecs.endpoint_list, config.settings.warm_up_ms
         )
         if recovered:
             self.registry.pending_events.append(recovered)
             return UNKNOWN_VERSION
         if not config.known:
             return UNKNOWN_VERSION
-        cached = self.messages.endpoint_list.decode(config.known, ListScope.CACHED)
+        cached = self.peer_codecs.endpoint_list.decode(config.known, ListScope.CACHED)
         self.registry.pending_events.append(cached.event)
         return cached.version
 
--- a/havendyke/net/collectors.py
+++ b/havendyke/net/collectors.py
@@ -11,7 +11,7 @@
 from ..interface import ServerLoadReport, SliceLoadReport
 from .connection import MAX_LOGGED_FIELD_CHARS, Connection
 from .event_loop import EventLoop
-from .messages import Messages
+from .peer_codecs import PeerCodecs
 from .resp import RespParser, encode
 from .timer import Timer
 from .wire_fields import decode_text
@@ -72,12 +72,12 @@
             self._event_loop.count("pings")
             self.connection.write(PONG)
         elif kind == b"SOURCE":
-            self._identify(self._collectors.messages.reports.zone_name(message))
+            self._identify(self._collectors.peer_codecs.reports.zone_name(message))
         elif self.zone is None:
             quoted = decode_text(kind)[:MAX_QUOTED_KIND_CHARS]
             raise FieldError(f"kind '{quoted}' before a joining")
         else:
-            report = self._collectors.messages.reports.report(message)
+            report = self._collectors.peer_codecs.reports.report(message)
             name = decode_text(kind).lower()
             self._event_loop.count(f"reports_{name}" if report else "reports_unknown")
             if report is not None:
@@ -123,10 +123,12 @@
 class Collectors:
     """All clients, at most `limits.callers` at a time; a new one takes another's place."""
 
-    def __init__(self, event_loop: EventLoop, messages: Messages, notify: NotifyReport) -> None:
+    def __init__(
+        self, event_loop: EventLoop, peer_codecs: PeerCodecs, notify: NotifyReport
+    ) -> None:
         """`notify` gets each load report."""
         self.event_loop = event_loop
-        self.messages = messages
+        self.peer_codecs = peer_codecs
         self.notify = notify
         self.clients: list[Client] = []
 
--- a/havendyke/net/discovery.py
+++ b/havendyke/net/discovery.py
@@ -19,7 +19,7 @@
 from .json_lines import parse_object
 from .list_pace import CompleteListPace
 from .list_queries import ListQuery, VersionCheck
-from .messages import Messages
+from .peer_codecs import PeerCodecs
 from .timer import Timer
 from .wire_endpoint_list import ReceivedList
 
@@ -60,7 +60,7 @@
         self,
         event_loop: EventLoop,
         address: Address,
-        messages: Messages,
+        peer_codecs: PeerCodecs,
         notify: NotifyList,
         version: int,
         seed: int = 0,
@@ -75,7 +75,7 @@
         self.unreachable = False
         self.pace = CompleteListPace(limits, seed)
         self.address = address
-        self._messages = messages
+        self._peer_codecs = peer_codecs
         self._notify = notify
         # Version and digest of the complete list that was taken last.
         self._taken_list: tuple[int, bytes] | None = None
@@ -212,7 +212,9 @@
     def _read_update(self, update: dict[str, Any]) -> tuple[ReceivedList, bool]:
         """The update, and whether all its entries could be read."""
         bad_entries: list[FieldError] = []
-        received = self._messages.endpoint_list.decode(update, on_invalid_entry=bad_entries.append)
+        received = self._peer_codecs.endpoint_list.decode(
+            update, on_invalid_entry=bad_entries.append
+        )
         for error in bad_entries:
             self.event_loop.count("bad_entries")
             self.event_loop.log("bad_entry", field=str(error)[:MAX_LOGGED_FIELD_CHARS])
@@ -307,7 +309,7 @@
             version=version,
             entries=len(event.entries),
         )
-        self._notify(self._messages.endpoint_list.accept(received))
+        self._notify(self._peer_codecs.endpoint_list.accept(received))
 
     @staticmethod
     def _reveals_restart(query: ListQuery, event: EndpointListUpdate, version: int) -> bool:
--- a/havendyke/net/health_checks.py
+++ b/havendyke/net/health_checks.py
@@ -13,7 +13,7 @@
 from .connection import MAX_LOGGED_FIELD_CHARS, Connection
 from .event_loop import Address, EventLoop
 from .http import STATUS_OK, STATUS_SERVICE_UNAVAILABLE, ResponseParser, get_request
-from .messages import Messages
+from .peer_codecs import PeerCodecs
 from .timer import Timer
 from .wire_fields import decode_text
 from .wire_reports import parse_server_load
@@ -112,7 +112,7 @@
     def __init__(
         self,
         event_loop: EventLoop,
-        messages: Messages,
+        peer_codecs: PeerCodecs,
         notify: Callable[[HealthCheckResult], None],
         path: str,
     ) -> None:
@@ -121,7 +121,7 @@
         self.path = path
         self.in_flight = 0
         self.queue: deque[Server] = deque()
-        self._messages = messages
+        self._peer_codecs = peer_codecs
         self._notify = notify
         self.last_outcomes: dict[Server, HealthCheckOutcome] = {}
 
@@ -150,7 +150,7 @@
 
     def incarnation(self, server: Server) -> object:
         """What tells a server's start from its next; None for a server that has left for good."""
-        return self._messages.endpoint_list.start_times.get(server)
+        return self._peer_codecs.endpoint_list.start_times.get(server)
 
     def finished(
         self, check: HealthCheck, outcome: HealthCheckOutcome, load: ServerLoad, why: str
@@ -160,7 +160,7 @@
         self.event_loop.count(f"health_checks_{outcome.value}")
         self._start_queued()
         server = check.server
-        if server not in self._messages.endpoint_list.start_times:
+        if server not in self._peer_codecs.endpoint_list.start_times:
             return  # it has left for good meanwhile
         if check.incarnation != self.incarnation(server):
             outcome, load = HealthCheckOutcome.SUPERSEDED, ServerLoad()
@@ -180,7 +180,7 @@
         """The server's address, None where it cannot be used."""
         try:
             address: Address = parse_address(
-                self._messages.endpoint_list.endpoints.get(server, ""), "endpoint"
+                self._peer_codecs.endpoint_list.endpoints.get(server, ""), "endpoint"
             )
             ip_address(address[0])  # there is nothing that resolves names
         except ValueError:
--- a/havendyke/net/messages.py
+++ b/havendyke/net/peer_codecs.py
@@ -9,7 +9,7 @@
 from .wire_reports import ReportDecoder
 
 
-class Messages:
+class PeerCodecs:
     """Maps the peers' messages to events and orders, over one registry and one configuration.
 
     Requests and framing stay with the modules that own the connections.
--- a/havendyke/net/relay_client.py
+++ b/havendyke/net/relay_client.py
@@ -10,8 +10,8 @@
 from .deadlines import Deadline
 from .event_loop import Address, EventLoop
 from .json_lines import LineParser, parse_object
-from .messages import Messages
 from .order_queue import OrderQueue
+from .peer_codecs import PeerCodecs
 from .published_tables import Table, apply_order, tables_match
 from .push_channel import ChannelState, PushChannel
 from .relay_orders import (
@@ -66,17 +66,17 @@
         self,
         event_loop: EventLoop,
         address: Address,
-        messages: Messages,
+        peer_codecs: PeerCodecs,
         notify: Callable[[Event], None],
     ) -> None:
         """Connects only once orders wait."""
         self._event_loop = event_loop
         self._limits = event_loop.limits
-        self._registry = messages.registry
-        self._exclusive_ownership = messages.settings.exclusive_ownership
+        self._registry = peer_codecs.registry
+        self._exclusive_ownership = peer_codecs.settings.exclusive_ownership
         self.address = address
         self.watch = RelayWatch(
-            event_loop, address, messages.relay, messages.registry, notify, self
+            event_loop, address, peer_codecs.relay, peer_codecs.registry, notify, self
         )
         self.channel = PushChannel(event_loop, notify)
         self.queue = OrderQueue()
@@ -102,15 +102,15 @@
         self.watch.start()
         self.send_next()
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """The relay has another address from now on; a call in progress ends at the old one."""
         self.address = address
         self._retry_timer.cancel()
         self._backoff.reset()
-        self.watch.move(address)
+        self.watch.set_address(address)
         self.send_next()
 
-    def order(self, orders: list[RelayOrder]) -> None:
+    def enqueue(self, orders: list[RelayOrder]) -> None:
         """Adds the orders of a push."""
         for order in orders:
             self.queue.put(order)
--- a/havendyke/net/relay_watch.py
+++ b/havendyke/net/relay_watch.py
@@ -78,7 +78,7 @@
         self.streams.append(stream)
         return True
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Watches the relay at another address from now on.
 
         The old streams end once a new one is synchronised: ended before, all proxies would be taken
--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -1,19 +1,19 @@
 import signal
 
 import pytest
-from world import World
+from loopback_peers import Deployment
 
 
 @pytest.fixture
-def world(tmp_path):
-    def late(number, frame):
-        raise TimeoutError("the test did not end")
+def deployment(tmp_path):
+    def on_alarm(signum, frame):
+        raise TimeoutError("the test did not end within 30 s")
 
-    made, old = World(tmp_path), signal.signal(signal.SIGALRM, late)
+    made, previous = Deployment(tmp_path), signal.signal(signal.SIGALRM, on_alarm)
     signal.alarm(30)
     try:
         yield made
     finally:
         signal.alarm(0)
-        signal.signal(signal.SIGALRM, old)
+        signal.signal(signal.SIGALRM, previous)
         made.close()
--- a/tests/net/test_crossing_relay.py
+++ b/tests/net/test_crossing_relay.py
@@ -9,7 +9,7 @@
 
 import pytest
 from helpers import SETTINGS, listed_server
-from world import PATIENCE, accepted, chunk, news, subscribe
+from loopback_peers import STEP_TIMEOUT_S, apply_reply, chunk, notification, proxy_connected
 
 QUIET = SETTINGS | {"limits": {"probes": False}}
 SOLE = QUIET | {
@@ -18,42 +18,42 @@
 
 
 def grant(piece, yes=True):
-    return news("GRANT", partition=piece, yes=yes)
+    return notification("GRANT", partition=piece, yes=yes)
 
 
 def row(piece, host, share=1.0):
-    return news("ROW", partition=piece, host=host, share=share)
+    return notification("ROW", partition=piece, host=host, share=share)
 
 
 def ack(proxy, mark):
-    return news("ACK", sidecar=proxy, version=mark, lag_ms=5.0)
+    return notification("ACK", sidecar=proxy, version=mark, lag_ms=5.0)
 
 
-STANDS = (subscribe(1), subscribe(2), grant(4), row(4, "s1"), grant(5), row(5, "s2"))
+STANDS = (proxy_connected(1), proxy_connected(2), grant(4), row(4, "s1"), grant(5), row(5, "s2"))
 
 
 @contextmanager
-def one_look(world):
+def one_look(deployment):
     """What is sent meanwhile comes to the loop together."""
-    world.process.send_signal(signal.SIGSTOP)
+    deployment.process.send_signal(signal.SIGSTOP)
     yield
-    world.process.send_signal(signal.SIGCONT)
+    deployment.process.send_signal(signal.SIGCONT)
 
 
 class Site:
     """The assigner with two proxies and two slices, its first call at the relay and not yet
     answered."""
 
-    def __init__(self, world, settings=QUIET, stands=STANDS):
-        self.world, self.rev = world, 1
-        world.start(settings=settings)
-        self.watches = world.listed("s1", "s2", "s3")
-        self.streams = world.stands(*stands)
-        self.peer = world.relay.next("call")
+    def __init__(self, deployment, settings=QUIET, stands=STANDS):
+        self.deployment, self.rev = deployment, 1
+        deployment.start(settings=settings)
+        self.watches = deployment.serve_endpoint_list("s1", "s2", "s3")
+        self.streams = deployment.serve_relay_watches(*stands)
+        self.peer = deployment.relay.next("call")
         self.call = self.peer.call
 
     def answer(self, marks=True):
-        self.peer.send(accepted(self.peer, self.call))
+        self.peer.send(apply_reply(self.peer, self.call))
         mark = nonce_of(self.call)
         if marks and mark is not None:
             self.tell(ack(1, mark), ack(2, mark))
@@ -61,7 +61,7 @@
 
     def await_both_streams(self):
         """Both streams are synchronised: on a busy machine one may be lost before the other is."""
-        self.world.logged("watch_synchronised", streams=2)
+        self.deployment.wait_for_event("watch_synchronised", streams=2)
         return self
 
     def tell(self, *told):
@@ -77,14 +77,14 @@
     def next(self):
         """The next call; on another connection where this one stood idle too long."""
         try:
-            self.call = self.peer.object()
+            self.call = self.peer.read_object()
         except EOFError:
             return self.call_on_new_connection()
         return self.call
 
     def call_on_new_connection(self):
         """The next call, on another connection."""
-        self.peer = self.world.relay.next("call")
+        self.peer = self.deployment.relay.next("call")
         self.call = self.peer.call
         return self.call
 
@@ -96,11 +96,11 @@
         return self.call
 
 
-def tells(world, *stands):
+def tells(deployment, *stands):
     """Both streams that come next get what stands: the new one, and the snapshot that verifies the
     tables that were just reported."""
     for _ in range(2):
-        stream = world.relay.next("watch")
+        stream = deployment.relay.next("watch")
         stream.send({"id": stream.call["id"], "result": True}, *stands)
 
 
@@ -116,30 +116,35 @@
     return lambda order: order["op"] == "OUT" and order["host"] == server
 
 
-def test_a_reply_and_the_end_of_its_connection_in_one_read_are_a_reply(world):
-    site = Site(world)
-    with one_look(world):
+def test_a_reply_and_the_end_of_its_connection_in_one_read_are_a_reply(deployment):
+    site = Site(deployment)
+    with one_look(deployment):
         site.answer(marks=False)
         site.peer.close()
     site.tell(ack(1, nonce_of(site.call)), ack(2, nonce_of(site.call)))
     site.drains("s1")
     assert site.call_on_new_connection()["params"]["orders"]
-    assert not world.seen("call_unknown") and world.counters()["relay_answered"] == 1
+    assert (
+        not deployment.logged_events("call_unknown")
+        and deployment.counters()["relay_answered"] == 1
+    )
 
 
 @pytest.mark.parametrize("carried", [False, True])
-def test_after_a_late_reply_a_snapshot_resolves_the_call(world, carried):
-    site = Site(world)
-    world.logged("call_unknown", why="silent")
-    site.peer.send(accepted(site.peer, site.call))  # too late: nobody is there
+def test_after_a_late_reply_a_snapshot_resolves_the_call(deployment, carried):
+    site = Site(deployment)
+    deployment.wait_for_event("call_unknown", why="silent")
+    site.peer.send(apply_reply(site.peer, site.call))  # too late: nobody is there
     lines = [
         row(o["table"], o["host"], o["share"])
         for o in site.call["params"]["orders"]
         if o["op"] == "SET"
     ]
-    look = world.relay.next("watch")
+    look = deployment.relay.next("watch")
     look.send({"id": look.call["id"], "result": True}, *STANDS, *(lines if carried else ()))
-    assert world.logged("call_compared")["matching"] == (len(tables(site.call)) if carried else 0)
+    assert deployment.wait_for_event("call_compared")["matching"] == (
+        len(tables(site.call)) if carried else 0
+    )
     if carried:
         site.tell(ack(1, nonce_of(site.call)), ack(2, nonce_of(site.call)))
         site.drains("s1")
@@ -147,8 +152,8 @@
     assert again["params"]["orders"] and (carried or first <= tables(again))
 
 
-def test_a_reply_in_single_bytes_is_a_reply(world):
-    site = Site(world)
+def test_a_reply_in_single_bytes_is_a_reply(deployment):
+    site = Site(deployment)
     told = b'{"jsonrpc":"2.0","id":%d,"result":{"taken":%d}}\n' % (
         site.call["id"],
         len(site.call["params"]["orders"]),
@@ -157,7 +162,7 @@
         site.peer.send(bytes([byte]))
     site.tell(ack(1, nonce_of(site.call)), ack(2, nonce_of(site.call)))
     site.drains("s1")
-    assert site.next()["params"]["orders"] and not world.seen("call_unknown")
+    assert site.next()["params"]["orders"] and not deployment.logged_events("call_unknown")
 
 
 @pytest.mark.parametrize(
@@ -172,62 +177,62 @@
         ({"error": {"message": "BUSY"}, "result": None}, "rejected"),
     ],
 )
-def test_a_reply_with_both_or_neither_of_result_and_error_is_invalid(world, told, how):
-    site = Site(world)
+def test_a_reply_with_both_or_neither_of_result_and_error_is_invalid(deployment, told, how):
+    site = Site(deployment)
     site.peer.send({"jsonrpc": "2.0", "id": site.call["id"]} | told)
     if how == "unknown":
-        assert world.logged("call_unknown")["why"] == "bad"
-    world.counted(f"relay_{how}", 1)
+        assert deployment.wait_for_event("call_unknown")["why"] == "bad"
+    deployment.wait_for_counter(f"relay_{how}", 1)
 
 
-def test_no_order_is_lost_when_the_idle_connection_ends_as_a_call_is_due(world):
-    site = Site(world).answer()
-    with one_look(world):
+def test_no_order_is_lost_when_the_idle_connection_ends_as_a_call_is_due(deployment):
+    site = Site(deployment).answer()
+    with one_look(deployment):
         site.peer.close()
         site.drains("s1")
     site.call_on_new_connection()
     assert site.until(out_of("s1"))
 
 
-def test_a_notification_cut_off_on_one_stream_is_taken_from_the_other(world):
-    site = Site(world).answer().await_both_streams()
+def test_a_notification_cut_off_on_one_stream_is_taken_from_the_other(deployment):
+    site = Site(deployment).answer().await_both_streams()
     left = b'{"jsonrpc":"2.0","method":"CLOSED","params":{"sidecar":2}}\n'
     site.streams[0].send(left[:30])
     site.streams[0].close()
     site.streams[1].send(left)
-    world.logged("watch_lost", left=1)
-    tells(world, *(s for s in STANDS if s != subscribe(2)))
-    world.counted("events_ProxyDisconnected", 1)
-    assert world.logged("watch_synchronised")["proxies"] == 1
+    deployment.wait_for_event("watch_lost", left=1)
+    tells(deployment, *(s for s in STANDS if s != proxy_connected(2)))
+    deployment.wait_for_counter("events_ProxyDisconnected", 1)
+    assert deployment.wait_for_event("watch_synchronised")["proxies"] == 1
 
 
-def test_what_only_a_lost_stream_reported_holds_once_another_reports_it(world):
-    site = Site(world).answer().await_both_streams()
-    site.streams[0].send(subscribe(3))
-    world.counted("events_ProxyConnected", 3)
+def test_what_only_a_lost_stream_reported_holds_once_another_reports_it(deployment):
+    site = Site(deployment).answer().await_both_streams()
+    site.streams[0].send(proxy_connected(3))
+    deployment.wait_for_counter("events_ProxyConnected", 3)
     site.streams[0].close()
     # The stream that is left may never bring it, and a proxy that is gone would be waited for.
-    world.counted("events_ProxyDisconnected", 1)
-    site.streams[1].send(subscribe(3))
-    world.counted("events_ProxyConnected", 4)
+    deployment.wait_for_counter("events_ProxyDisconnected", 1)
+    site.streams[1].send(proxy_connected(3))
+    deployment.wait_for_counter("events_ProxyConnected", 4)
 
 
-def test_after_all_streams_are_lost_the_state_that_the_next_brings_holds(world):
-    site = Site(world).answer().await_both_streams()
-    with one_look(world):
+def test_after_all_streams_are_lost_the_state_that_the_next_brings_holds(deployment):
+    site = Site(deployment).answer().await_both_streams()
+    with one_look(deployment):
         for stream in site.streams:
             stream.close(reset=True)
-    world.logged("watch_lost", left=0)
-    tells(world, subscribe(2), subscribe(3), grant(5), row(5, "s3"))
-    assert world.logged("watch_synchronised")["slices"] == 1
-    counted = world.counters()
+    deployment.wait_for_event("watch_lost", left=0)
+    tells(deployment, proxy_connected(2), proxy_connected(3), grant(5), row(5, "s3"))
+    assert deployment.wait_for_event("watch_synchronised")["slices"] == 1
+    counted = deployment.counters()
     # All that was reported is taken back, since nobody repeats what only the lost streams would
     # have brought.
     assert counted["events_ProxyDisconnected"] == 2 and counted["events_ProxyConnected"] == 4
 
 
-def test_a_slice_unassigned_during_a_call_about_it_gets_no_further_entry(world):
-    site = Site(world)
+def test_a_slice_unassigned_during_a_call_about_it_gets_no_further_entry(deployment):
+    site = Site(deployment)
     assert 4 in tables(site.call)
     site.tell(grant(4, False))
     site.answer()
@@ -238,11 +243,11 @@
         site.answer()
         call = site.next()
     assert 4 not in tables(call)
-    assert world.counters()["watch_GRANT"] >= 5
+    assert deployment.counters()["watch_GRANT"] >= 5
 
 
-def test_a_slice_unassigned_and_assigned_again_during_a_call_goes_by_its_present_table(world):
-    site = Site(world).answer().await_both_streams()
+def test_a_slice_unassigned_and_assigned_again_during_a_call_goes_by_its_present_table(deployment):
+    site = Site(deployment).answer().await_both_streams()
     site.drains("s1")
     site.next()
 
@@ -252,29 +257,37 @@
         if o.get("table") == 4
     ]
     other = {"s2": "s3", "s3": "s2"}[stale[0]["host"]]
-    world.logged("call_unknown")  # it is never answered
+    deployment.wait_for_event("call_unknown")  # it is never answered
     site.tell(grant(4, False), grant(4), row(4, other))
     # The snapshot for the unresolved call, and the one for the table that was just reported.
-    tells(world, subscribe(1), subscribe(2), grant(4), row(4, other), grant(5), row(5, "s2"))
+    tells(
+        deployment,
+        proxy_connected(1),
+        proxy_connected(2),
+        grant(4),
+        row(4, other),
+        grant(5),
+        row(5, "s2"),
+    )
     assert not [o for o in site.call_on_new_connection()["params"]["orders"] if o in stale], (
         "an order of before"
     )
 
 
-def test_a_table_from_before_a_call_is_not_believed_after_it(world):
+def test_a_table_from_before_a_call_is_not_believed_after_it(deployment):
     """The second stream was requested before the call, and brings the table of then after the
     reply."""
-    world.start(settings=QUIET)
-    world.listed("s1", "s2", "s3")
-    one = world.relay.next("watch")
+    deployment.start(settings=QUIET)
+    deployment.serve_endpoint_list("s1", "s2", "s3")
+    one = deployment.relay.next("watch")
     one.send({"id": one.call["id"], "result": True}, *STANDS)
-    two = world.relay.next("watch")
-    peer = world.relay.next("call")
-    peer.send(accepted(peer, peer.call))
+    two = deployment.relay.next("watch")
+    peer = deployment.relay.next("call")
+    peer.send(apply_reply(peer, peer.call))
     one.send(ack(1, nonce_of(peer.call)), ack(2, nonce_of(peer.call)))
-    world.counted("events_PushAcknowledged", 2)
+    deployment.wait_for_counter("events_PushAcknowledged", 2)
     two.send({"id": two.call["id"], "result": True}, *STANDS)
-    look = world.relay.next("watch")
+    look = deployment.relay.next("watch")
     look.send(
         {"id": look.call["id"], "result": True},
         *STANDS,
@@ -284,12 +297,15 @@
             if o["op"] == "SET"
         ),
     )
-    world.counted_from("closed_relay_watch_done", 1)
-    assert not world.seen("snapshot_differs") and world.counters().get("snapshot_differs", 0) == 0
+    deployment.wait_for_counter_at_least("closed_relay_watch_done", 1)
+    assert (
+        not deployment.logged_events("snapshot_differs")
+        and deployment.counters().get("snapshot_differs", 0) == 0
+    )
 
 
-def test_a_table_entry_that_crosses_an_order_does_not_repeat_the_order_for_good(world):
-    site = Site(world)
+def test_a_table_entry_that_crosses_an_order_does_not_repeat_the_order_for_good(deployment):
+    site = Site(deployment)
     own = [o for o in site.call["params"]["orders"] if o["op"] == "SET"]
     site.tell(*(row(o["table"], o["host"], o["share"]) for o in own))
     site.answer()
@@ -301,12 +317,16 @@
 @pytest.mark.parametrize(
     "told",
     [
-        lambda mark: (news("CLOSED", sidecar=2), ack(2, mark), ack(1, mark)),  # by one who has left
+        lambda mark: (
+            notification("CLOSED", sidecar=2),
+            ack(2, mark),
+            ack(1, mark),
+        ),  # by one who has left
         lambda mark: (ack(1, mark), ack(1, mark), ack(2, mark)),  # twice
         lambda mark: (
             ack(1, mark),
-            news("CLOSED", sidecar=2),
-            subscribe(2),
+            notification("CLOSED", sidecar=2),
+            proxy_connected(2),
             ack(2, mark),
         ),  # left and joined under it
         lambda mark: (
@@ -318,17 +338,17 @@
     ],
     ids=["by one who left", "twice", "joined anew", "of another push"],
 )
-def test_odd_acknowledgements_delay_nothing(world, told):
-    site = Site(world)
+def test_odd_acknowledgements_delay_nothing(deployment, told):
+    site = Site(deployment)
     site.answer(marks=False)
     site.tell(*told(nonce_of(site.call)))
     site.drains("s1")
     site.next()
-    assert site.until(out_of("s1")) and world.counters().get("failures", 0) == 0
+    assert site.until(out_of("s1")) and deployment.counters().get("failures", 0) == 0
 
 
-def test_a_proxy_that_never_acknowledges_does_not_delay_a_drain(world):
-    site = Site(world)
+def test_a_proxy_that_never_acknowledges_does_not_delay_a_drain(deployment):
+    site = Site(deployment)
     site.answer(marks=False)
     site.tell(ack(1, nonce_of(site.call)))
     site.drains("s1")
@@ -340,9 +360,9 @@
 
 
 def test_with_exclusive_ownership_the_next_owner_waits_for_the_lease_and_all_acknowledgements(
-    world,
+    deployment,
 ):
-    site = Site(world, SOLE)
+    site = Site(deployment, SOLE)
     site.answer()
     site.drains("s1")
     call = site.next()
@@ -357,21 +377,21 @@
         while 4 not in tables(site.next()):
             site.answer(marks=False)
             site.tell(ack(1, nonce_of(site.call)))
-    site.peer.socket.settimeout(PATIENCE)
+    site.peer.socket.settimeout(STEP_TIMEOUT_S)
     site.tell(ack(2, nonce_of(call)))
     while 4 not in tables(call := site.next()):
         site.answer()
     assert [o["host"] for o in call["params"]["orders"] if o.get("table") == 4] != ["s1"]
 
 
-def test_with_exclusive_ownership_a_slice_assigned_again_waits_for_writes_of_others(world):
+def test_with_exclusive_ownership_a_slice_assigned_again_waits_for_writes_of_others(deployment):
     """Whoever owned the slice in between may have cleared its table just now; writes may go on for
     1.5 s."""
     lasting = SOLE | {"familyInfo": SOLE["familyInfo"] | {"lingers": 15e8}}
-    site = Site(world, lasting).answer()
+    site = Site(deployment, lasting).answer()
     site.tell(grant(4, False))
     site.tell(grant(4))
     began = time.monotonic()
     site.next()
     site.until(lambda o: o["op"] == "SET" and o["table"] == 4)
-    assert time.monotonic() - began >= 1.5 and world.counters().get("failures", 0) == 0
+    assert time.monotonic() - began >= 1.5 and deployment.counters().get("failures", 0) == 0
--- a/tests/net/test_event_loop.py
+++ b/tests/net/test_event_loop.py
@@ -48,7 +48,7 @@
     connect_client(suspend_reconciliation(assigner))
     late = connect_client(assigner)
     assert late.over and hub.counters["slots_full"] == 1 and len(hub.slots) == 1
-    assigner.relay.order([weight_order(1, "s1")])
+    assigner.relay.enqueue([weight_order(1, "s1")])
     assigner.discovery.start()
     assigner.relay.watch.start()
     assigner.health_checker.check(assigner.registry.servers["s1"])
--- a/tests/net/test_health_checks.py
+++ b/tests/net/test_health_checks.py
@@ -87,6 +87,6 @@
 def test_a_server_without_a_usable_address_is_not_checked(end):
     assigner, hub = make_assigner()
     server = assigner.registry.servers["s1"]
-    assigner.messages.endpoint_list.endpoints[server] = end
+    assigner.peer_codecs.endpoint_list.endpoints[server] = end
     assigner.health_checker.check(server)
     assert hub.counters["health_checks_skipped"] == 1 and not hub.made
--- a/tests/net/test_list_checks.py
+++ b/tests/net/test_list_checks.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import feed as feed_bytes
 from helpers import listed_server, make_assigner, suspend_reconciliation, take_pending_events
-from world import CHUNKED, PATIENCE, chunk, head
+from loopback_peers import CHUNKED, STEP_TIMEOUT_S, chunk, http_head
 
 from havendyke import interface as core
 from havendyke.config import Limits
@@ -64,7 +64,7 @@
             changes(rev, *(listed_server(f"s{k}") for k in range(tasks)), whole=True)
         )
         (connection,) = self.wholes()
-        feed_bytes(connection, head(f"Content-Length: {len(body)}") + body)
+        feed_bytes(connection, http_head(f"Content-Length: {len(body)}") + body)
 
     def pass_time(self, ms, step=250.0):
         """With the watches' empty lines."""
@@ -223,7 +223,7 @@
     "503": answered(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
     "no line": answered(CHUNKED + b"0\r\n\r\n"),
     "no list": answered(CHUNKED + chunk({"rev": 1})),
-    "no body": answered(head("Content-Length: 0")),
+    "no body": answered(http_head("Content-Length: 0")),
 }
 
 
@@ -260,7 +260,7 @@
     )
     for _ in range(2):
         (connection,) = registry.wholes()
-        feed_bytes(connection, head(f"Content-Length: {len(spoilt)}") + spoilt)
+        feed_bytes(connection, http_head(f"Content-Length: {len(spoilt)}") + spoilt)
         registry.pass_time(3000)
     assert (
         registry.count("bad_entries") == 1 and not registry.wholes()
@@ -350,29 +350,31 @@
     assert Registry(LARGE).discovery.pace.seed == 0x8C1F
 
 
-def test_a_drain_that_the_watches_hold_back_is_known_within_six_seconds(world):
+def test_a_drain_that_the_watches_hold_back_is_known_within_six_seconds(deployment):
     """On sockets: empty lines on the watches, the drain only on the check, though it was listed
     after the last one."""
-    world.start()
-    watches = world.listed(*(f"s{k}" for k in range(LARGE)))
-    world.logged("endpoint_list", version=1)
-    world.discovery.listener.settimeout(0.1)
+    deployment.start()
+    watches = deployment.serve_endpoint_list(*(f"s{k}" for k in range(LARGE)))
+    deployment.wait_for_event("endpoint_list", version=1)
+    deployment.discovery.listener.settimeout(0.1)
     began, check = time.monotonic(), None
     while check is None:
         for watch in watches:
             watch.send(EMPTY)
         try:
-            check = world.discovery.next("watch")
+            check = deployment.discovery.next("watch")
         except TimeoutError:
             assert time.monotonic() - began < 6.0
-    world.discovery.listener.settimeout(PATIENCE)
+    deployment.discovery.listener.settimeout(STEP_TIMEOUT_S)
     assert check.path.endswith("since=1")
     check.send(CHUNKED, drain(2))
-    assert world.logged("endpoint_list", version=2)["scope"] == "changes"
+    assert deployment.wait_for_event("endpoint_list", version=2)["scope"] == "changes"
     assert time.monotonic() - began < 6.0
-    assert check.ended()
-    world.discovery.next("whole").send(CHUNKED, chunk(world.listing("s2", rev=2)), b"0\r\n\r\n")
+    assert check.wait_for_close()
+    deployment.discovery.next("complete").send(
+        CHUNKED, chunk(deployment.endpoint_list_message("s2", rev=2)), b"0\r\n\r\n"
+    )
     assert (
-        world.logged("watches_stale", version=2)
-        and world.logged("endpoint_list", version=2)["scope"] == "complete"
+        deployment.wait_for_event("watches_stale", version=2)
+        and deployment.wait_for_event("endpoint_list", version=2)["scope"] == "complete"
     )
--- a/tests/net/test_relay_client.py
+++ b/tests/net/test_relay_client.py
@@ -28,7 +28,7 @@
 
 
 def start_call(hub, assigner, *orders):
-    assigner.relay.order(list(orders))
+    assigner.relay.enqueue(list(orders))
     return hub.open("relay")
 
 
@@ -96,7 +96,7 @@
     open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
     take_pending_events(assigner)
     mark = AcknowledgementOrder(1, all_proxies=False)
-    assigner.relay.order([weight_order(4, "s2"), weight_order(4, "s1", 0.0), mark])
+    assigner.relay.enqueue([weight_order(4, "s2"), weight_order(4, "s1", 0.0), mark])
     if why == "BUSY":
         call = hub.open("relay")
         feed(call, [{"id": sent_orders(call)[1], "error": {"message": why}}])
@@ -178,7 +178,7 @@
         AcknowledgementOrder(1, all_proxies=False),
     )
     ENDINGS[ending](call, hub)
-    assigner.relay.order([weight_order(4, "s3")])
+    assigner.relay.enqueue([weight_order(4, "s3")])
     hub.pass_time(110)
     row = {
         "method": "ROW",
@@ -218,7 +218,7 @@
     out = EjectionOrder("s1", ejected=True)
     start_call(hub, suspend_reconciliation(assigner), out).close("reset")
     hub.pass_time(110)
-    assigner.relay.order([weight_order(1, "s2")])
+    assigner.relay.enqueue([weight_order(1, "s2")])
     assert [o["op"] for o in sent_orders(hub.open("relay"))[0][0]] == ["OUT", "SET"]
     assert take_pending_events(assigner, core.PushChannelStatus) == []
 
@@ -278,7 +278,7 @@
 def test_newer_orders_replace_older_ones_that_wait():
     assigner, hub = make_assigner()
     relay = suspend_reconciliation(assigner).relay
-    relay.order(
+    relay.enqueue(
         [
             weight_order(1, "s1"),
             weight_order(1, "s2"),
@@ -287,7 +287,7 @@
             AcknowledgementOrder(1, all_proxies=True),
         ]
     )
-    relay.order(
+    relay.enqueue(
         [
             weight_order(1, "s1", 0.0),
             EjectionOrder("s1", ejected=False),
@@ -302,7 +302,7 @@
         AdmissionOrder(("lookup", "write"), 0.2, core.RetryPolicy.NEVER),
         AcknowledgementOrder(2, all_proxies=True),
     ]
-    relay.order([ClearOrder(1)])
+    relay.enqueue([ClearOrder(1)])
     keys = [order.key for order in relay.queue.orders]
     assert weight_order(1, "s1").key not in keys and ClearOrder(1).key in keys
 
@@ -339,7 +339,7 @@
 def test_orders_from_before_a_new_assignment_are_dropped():
     assigner, hub = make_assigner()
     open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
-    assigner.relay.order([weight_order(4, "s2"), weight_order(3, "s2")])
+    assigner.relay.enqueue([weight_order(4, "s2"), weight_order(3, "s2")])
     feed(hub.open("relay_watch"), [{"method": "GRANT", "params": {"partition": 4, "yes": False}}])
     assert [order.key for order in assigner.relay.queue.orders] == [weight_order(3, "s2").key]
 
--- a/tests/net/test_relay_watch.py
+++ b/tests/net/test_relay_watch.py
@@ -38,7 +38,7 @@
 def test_the_number_of_connections_is_bounded_while_the_relay_is_silent(seconds):
     assigner, hub = make_assigner(news_streams=2)
     suspend_reconciliation(assigner).relay.watch.start()
-    assigner.relay.order([weight_order(1, "s1")])
+    assigner.relay.enqueue([weight_order(1, "s1")])
     for _ in range(10 * seconds):
         for c in hub.made:
             if c.transport is None and not c.over:
--- a/tests/net/test_start_size.py
+++ b/tests/net/test_start_size.py
@@ -44,8 +44,8 @@
 
 
 @pytest.fixture
-def start_size(world):
-    return world.start(MEASURED, wait="start_size").log[-1]
+def start_size(deployment):
+    return deployment.start(MEASURED, wait="start_size").log[-1]
 
 
 def source(path):
--- a/tests/test_cold_figures.py
+++ b/tests/test_cold_figures.py
@@ -85,7 +85,7 @@
     """The event of a change of the list that names these servers with their starts (Unix ms)."""
     targets = [listed_server(name, boot_ms=boot) for name, boot in started.items()]
     listing = {"rev": 11, "all": False, "targets": targets}
-    return assigner.messages.endpoint_list.decode(listing).event
+    return assigner.peer_codecs.endpoint_list.decode(listing).event
 
 
 def test_a_start_in_the_future_counts_as_now_and_stays_so():
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -126,12 +126,12 @@
 def test_a_call_under_way_ends_at_the_old_address_and_the_next_goes_to_the_new(ends):
     assigner, hub = make_assigner()
     relay = suspend_reconciliation(assigner).relay
-    relay.order([weight_order(1, "s1")])
+    relay.enqueue([weight_order(1, "s1")])
     (old,) = at(hub, "relay", "127.0.0.1")
     if ends == "idle":
         feed(old, [{"id": sent_orders(old)[1], "result": {"taken": 1}}])
     reload(assigner)
-    relay.order([weight_order(2, "s1")])
+    relay.enqueue([weight_order(2, "s1")])
     assert old.over == (ends == "idle")
     if ends == "answered":
         feed(old, [{"id": sent_orders(old)[1], "result": {"taken": 1}}])
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -54,8 +54,8 @@
                 for x in (
                     a.registry.servers,
                     a.registry.controller.servers,
-                    a.messages.endpoint_list.endpoints,
-                    a.messages.endpoint_list.start_times,
+                    a.peer_codecs.endpoint_list.endpoints,
+                    a.peer_codecs.endpoint_list.start_times,
                     a.health_checker.last_outcomes,
                 )
             ]
