--- a/havendyke/net/assigner.py
+++ b/havendyke/net/assigner.py
@@ -1,4 +1,4 @@
-"""One assigner: the controller, its peers, and the reconciliations between them."""
+"""One assigner: connects the controller to its peers and runs its reconciliations."""
 
 from __future__ import annotations
 
@@ -31,27 +31,27 @@
 if TYPE_CHECKING:
     from ..recovery.durable_state import DurableState
 
-# The id of the controller's tick, which has it reconcile without any other event.
+# The id of the controller's tick timer, which causes a reconciliation without any other event.
 RECONCILE_TIMER_ID = 0
-# Below every version of the endpoint list: none is held, or a cached one that may be outdated.
+# Lower than any version of the endpoint list: there is no list, or a cached one may be outdated.
 UNKNOWN_VERSION = -1
-# What a reload cannot change; named in the log until the next start.
+# Fields that a reload cannot change; a changed one is logged until the next start.
 FIXED_AT_START = ("name", "listen", "settings", "wire_names", "limits")
 
 
 class Assigner:
-    """Collects events from the peers, has the controller reconcile, and carries out its orders.
+    """Collects events from the peers, runs the controller on them and carries out its orders.
 
-    Runs in the event loop alone. Whatever comes in before the loop is idle makes one
-    reconciliation.
+    Runs in the event loop only. All events that arrive in one iteration of the loop are handled by
+    one reconciliation.
     """
 
     def __init__(
         self, config: Config, event_loop: EventLoop, durable: DurableState | None = None
     ) -> None:
-        """`durable`: the state on disk, where the operator's file switches it on.
+        """`durable`: the persisted state, if the operator's file enables it.
 
-        Raises `ValueError` where the endpoint list of the configuration cannot be read.
+        Raises `ValueError` if the endpoint list of the configuration is invalid.
         """
         self.event_loop = event_loop
         self.config = config
@@ -72,7 +72,7 @@
         self._fleet_summary = FleetSummary(event_loop, self.registry.controller)
 
     def start(self) -> None:
-        """Opens the connections and makes the first reconciliation."""
+        """Opens the connections and runs the first reconciliation."""
         self.relay.start()
         self.reconcile()
         self.forget_departed()
@@ -80,9 +80,9 @@
         self.discovery.start()
 
     def reload(self, config: Config, fixed_at_start: Sequence[str] = ()) -> None:
-        """Moves to the addresses of a new configuration, and logs what waits for a restart.
+        """Applies the addresses of a new configuration, and logs changes that need a restart.
 
-        `fixed_at_start` names what else has changed and waits.
+        `fixed_at_start`: names of further changes that need a restart.
         """
         old, self.config = self.config, config
         if config.relay != old.relay:
@@ -103,9 +103,9 @@
         )
 
     def forget_departed(self) -> None:
-        """Forgets servers that have left for good, at once and every `limits.sweep` ms.
+        """Removes servers that have left for good, now and every `limits.sweep` ms.
 
-        Only which of them were ejected is remembered, at most `limits.forgotten` ids.
+        Only the ids of those that were ejected are kept, at most `limits.forgotten`.
         """
         limits = self.event_loop.limits
         departed = self.registry.forget_departed(limits.forgotten)
@@ -117,7 +117,7 @@
     def notify(self, event: Event) -> None:
         """Adds an event to the next reconciliation; called by peers and timers.
 
-        The first event schedules it for when all that is ready now has been read.
+        The first event schedules the reconciliation, after all input that is ready has been read.
         """
         self.registry.pending_events.append(event)
         if not self.reconcile_pending:
@@ -125,7 +125,7 @@
             self.event_loop.soon(self.reconcile)
 
     def reconcile(self) -> None:
-        """Hands the pending events to the controller and carries out its orders."""
+        """Passes the pending events to the controller and carries out its orders."""
         self.reconcile_pending = False
         events = self.registry.pending_events
         started_ms = self.event_loop.now()
@@ -143,26 +143,29 @@
         self._count_reconciliation(self.event_loop.now() - started_ms)
 
     def carry_out(self, orders: Sequence[Order]) -> None:
-        """Hands each order to the peer that carries it out."""
-        for_relay: list[RelayOrder] = []
+        """Passes each order to the peer that carries it out."""
+        relay_orders: list[RelayOrder] = []
         for order in orders:
             if isinstance(order, StartTimer):
                 self._start_timer(order)
             elif isinstance(order, SendHealthCheck):
                 self.health_checker.check(order.server)
             elif (relay_order := self.peer_codecs.relay.relay_order(order)) is not None:
-                for_relay.append(relay_order)
+                relay_orders.append(relay_order)
                 self.event_loop.count(f"orders_{type(order).__name__}")
-            elif not isinstance(order, RequestEndpointList):  # discovery is always followed
+            elif not isinstance(order, RequestEndpointList):  # discovery is watched at all times
                 self.event_loop.count("orders_without_form")
                 self.event_loop.log("order_without_form", order=type(order).__name__)
-        if for_relay:
-            nonce = requested_nonce(for_relay)
-            self.event_loop.log("push", orders=len(for_relay), nonce=nonce)
-            self.relay.enqueue(for_relay)
+        if relay_orders:
+            nonce = requested_nonce(relay_orders)
+            self.event_loop.log("push", orders=len(relay_orders), nonce=nonce)
+            self.relay.enqueue(relay_orders)
 
     def counters(self) -> dict[str, float]:
-        """All counters by name, with what the process uses; read for SIGUSR1 and at the end."""
+        """All counters by name, with the process's resource usage.
+
+        Written on SIGUSR1 and at the end of the process.
+        """
         event_loop = self.event_loop
         open_connections = Counter(f"open_{each.peer.name}" for each in event_loop.slots)
         return {
@@ -177,9 +180,9 @@
         }
 
     def _load_endpoint_list(self) -> int:
-        """Begins with the list of the state on disk, else with the configuration's.
+        """Loads the endpoint list from the persisted state, else from the configuration.
 
-        Returns the version of the list.
+        Returns the version of the list, or `UNKNOWN_VERSION`.
         """
         config = self.config
         recovered = self._durable and self._durable.attach(
@@ -195,7 +198,7 @@
         return cached.version
 
     def _decide(self, now_ms: float) -> list[Order] | None:
-        """The controller's orders, or None where it failed."""
+        """Runs the controller; returns its orders, or None if it failed."""
         event_count = len(self.registry.pending_events)
         try:
             return self.registry.reconcile(now_ms)
@@ -210,7 +213,7 @@
             return None
 
     def _recover(self, events: Sequence[Event], now_ms: float) -> None:
-        """Reconciles with one event at a time, so that one that fails takes no other along."""
+        """Reconciles one event at a time, so that an event that fails does not lose the others."""
         failed = list(events) if len(events) < 2 else []
         for event in events if len(events) > 1 else ():
             self.registry.pending_events = [event]
@@ -219,13 +222,13 @@
                 failed.append(event)
             else:
                 self.carry_out(orders)
-        # Without its timers the controller would not reconcile again before the next event.
+        # Without its timers, the controller would not run again before the next event.
         timer_ids = [event.timer_id for event in failed if isinstance(event, TimerFired)]
         if not timer_ids and not self.timers_running:
             timer_ids = [RECONCILE_TIMER_ID]
         delay_ms = self.event_loop.limits.turn_again
         self.carry_out([StartTimer(timer_id, delay_ms) for timer_id in timer_ids])
-        # Orders that the controller takes for published may never have left.
+        # The controller may regard orders as published that were never sent.
         self.relay.report_diverging_tables()
 
     def _start_timer(self, order: StartTimer) -> None:
@@ -246,7 +249,7 @@
 
 
 def _raised_at(error: Exception) -> str:
-    """The function and line where an error was raised."""
+    """The function and line that raised an error."""
     last = error.__traceback__
     while last and last.tb_next:
         last = last.tb_next
--- a/havendyke/net/fleet_summary.py
+++ b/havendyke/net/fleet_summary.py
@@ -1,4 +1,4 @@
-"""A summary of the fleet as the controller sees it, logged at an interval."""
+"""A summary of the fleet in the controller's state, logged periodically."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
@@ -8,7 +8,7 @@
 from ..state import UNAVAILABLE, UNHEALTHY, WARMING_UP, HealthState, Server, Slice, upper_median
 from .event_loop import EventLoop
 
-# Conditions of the fleet, by their names in the controller and in the log.
+# Fleet conditions, with the same names in the controller and in the log.
 CONDITIONS = (
     "overloaded",
     "congested",
@@ -18,25 +18,25 @@
     "load_shed",
 )
 
-# Of the admission limit: a probability, or requests a second, far above this without a limit.
+# Caps the logged admission limit (a probability or requests per second), far larger when unlimited.
 MAX_LOGGED_LIMIT = 9.0
 MAX_LOGGED_AGE_MS = 1e6
 
 
 class ControllerState(NamedTuple):
-    """What the summary reads of a controller."""
+    """The part of a controller's state that the summary reads."""
 
     servers: Sequence[Server]
     slices: Sequence[Slice]
     conditions: list[str]
     is_slow: Callable[[Server], bool]
     admission_limit: float
-    queue_share: float  # of the push channel's limit that waits, at its slowest pace
-    load_share: Callable[[Server], float]  # of a server's capacity
+    queue_share: float  # queued entries, relative to the push channel's limit at its slowest pace
+    load_share: Callable[[Server], float]  # a server's load, relative to its capacity
 
 
 def read_controller(controller: Controller) -> ControllerState:
-    """The only place that knows the controller's attributes."""
+    """Reads the controller's attributes; no other function of this module depends on them."""
     channel = controller.observed.channel
     costs = controller.pushes.costs
     return ControllerState(
@@ -51,16 +51,16 @@
 
 
 class FleetSummary:
-    """Logs the summary, and which slices have migrated since the last one."""
+    """Logs the summary, with the slices that have migrated since the previous one."""
 
     def __init__(self, event_loop: EventLoop, controller: Controller) -> None:
-        """Logs nothing before the first `log_summary`."""
+        """Logs nothing until `log_summary` is called."""
         self._event_loop = event_loop
         self._controller = controller
         self._primaries: dict[Slice, Server | None] = {}
 
     def log_summary(self) -> None:
-        """Logs one summary now, and the next after the interval."""
+        """Logs a summary now and schedules the next one."""
         state = read_controller(self._controller)
         servers = state.servers
         ready = [server for server in servers if server.is_ready]
@@ -88,7 +88,7 @@
         self._event_loop.after(self._event_loop.limits.view, self.log_summary)
 
     def _migration_sources(self, primaries: dict[Slice, Server | None]) -> list[Server]:
-        """The former primary of each slice that has another one now."""
+        """The former primary of each slice whose primary has changed."""
         sources = []
         for each, primary in primaries.items():
             former = self._primaries.get(each)
@@ -102,7 +102,7 @@
 
 
 def _has_endpoint(routing_slice: Slice) -> bool:
-    """Whether a published endpoint of the slice can serve."""
+    """Whether the slice has a published endpoint that can serve requests."""
     return any(not s.ejected and s.health > UNHEALTHY for s in routing_slice.published)
 
 
@@ -112,13 +112,13 @@
 
 
 def _median_success_age_ms(servers: Iterable[Server], now_ms: float) -> int:
-    """The median time since the servers' last success."""
+    """The median time since the servers' last successes (ms)."""
     ages_ms = [now_ms - server.last_success_ms for server in servers]
     median_ms: float = upper_median(ages_ms, 0.0)
     return round(min(median_ms, MAX_LOGGED_AGE_MS))
 
 
 def _count_health(states: Iterable[HealthState]) -> dict[str, int]:
-    """How many there are of each health state, without those of which there are none."""
+    """The number of occurrences of each health state, without zeros."""
     counts = Counter(states)
     return {state.name.lower(): counts[state] for state in HealthState if counts[state]}
--- a/havendyke/net/generations.py
+++ b/havendyke/net/generations.py
@@ -1,7 +1,7 @@
 """Generation numbers of proxies and slices: odd while present, even while absent.
 
-Several streams of the relay report the same changes, and each may be behind or begin late. Whatever
-raises the generation is new; a repetition is not.
+Several streams of the relay report the same changes; a stream may lag behind the others or begin
+later. A report that raises the generation is new, any other is a duplicate.
 """
 
 
@@ -10,21 +10,21 @@
     return generation & 1 == 1
 
 
-def after_arrival(generation: int) -> int:
-    """The generation after one more arrival; its end was lost where it was present already."""
+def next_present(generation: int) -> int:
+    """The generation after an arrival; one that was still present has missed a departure."""
     return generation + (2 if is_present(generation) else 1)
 
 
-def after_departure(generation: int) -> int:
-    """The generation after a departure; the same where it was absent already."""
+def next_absent(generation: int) -> int:
+    """The generation after a departure; unchanged where it was absent already."""
     return generation + (generation & 1)
 
 
-def present(generation: int) -> int:
-    """This generation, or the next where that is an absence."""
+def present_from(generation: int) -> int:
+    """The lowest generation, from this one on, that is present."""
     return generation | 1
 
 
-def aligned(reported: int, seen: int) -> int:
-    """The lowest generation from the reported one on that agrees with what a stream has seen."""
+def aligned_from(reported: int, seen: int) -> int:
+    """The lowest generation, from the reported one on, that is present or absent as `seen` is."""
     return reported + ((reported ^ seen) & 1)
--- a/havendyke/net/log.py
+++ b/havendyke/net/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, on standard error."""
+"""The event log: one JSON line per event, on standard error."""
 
 import contextlib
 import os
@@ -12,11 +12,11 @@
 
 
 def set_nonblocking(descriptor: int) -> None:
-    """Keeps a reader that stands still from stopping the loop.
+    """Makes a pipe or socket non-blocking, so that a stalled reader does not block the event loop.
 
-    A line shorter than a pipe's atomic size is written complete or not at all.
+    A line shorter than `PIPE_BUF` is written to a pipe completely or not at all.
     """
-    # Closed by whoever started the process: nobody reads it.
+    # The descriptor may be closed, and then nobody reads it.
     with contextlib.suppress(OSError):
         mode = os.fstat(descriptor).st_mode
         if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode):
@@ -24,16 +24,16 @@
 
 
 class EventLog:
-    """Writes events, at most so many a second.
+    """Writes events, at most `max_lines` a second.
 
-    Of one event only `max_lines_per_event` are written a second: a flood of one must not hide the
-    others. `dropped` counts what was not written.
+    At most `max_lines_per_event` of them have the same event name, so that a flood of one event
+    does not suppress the others. `dropped` counts the lines that were not written.
     """
 
     def __init__(
         self, clock: Callable[[], float], max_lines: int, max_lines_per_event: int
     ) -> None:
-        """`clock` returns ms."""
+        """`clock` returns the time in ms."""
         self.dropped = 0
         self._clock = clock
         self._max_lines = max_lines
@@ -44,7 +44,7 @@
         set_nonblocking(STDERR)
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Writes one line with the event's name and fields."""
+        """Writes one line with the event's name and fields, within the limits."""
         now_ms = self._clock()
         if not self._within_limits(event, now_ms):
             self.dropped += 1
@@ -73,7 +73,7 @@
 
 
 def encode_counters(counters: Mapping[str, object]) -> bytes:
-    """One line with all counters by name."""
+    """Encodes all counters as one JSON line."""
     return orjson.dumps(
         {"event": "counters", **counters},
         default=str,
--- a/havendyke/net/order_queue.py
+++ b/havendyke/net/order_queue.py
@@ -1,4 +1,4 @@
-"""The orders that wait for a call to the relay: a newer order replaces older ones."""
+"""A queue of orders that wait for a call to the relay; a newer order replaces older ones."""
 
 from collections.abc import Callable, Iterable
 
@@ -13,19 +13,19 @@
     keys_for_slice,
 )
 
-# Orders that make some with other keys obsolete.
-COVERING_KINDS = (OrderKind.CLEAR, OrderKind.ADMISSION)
+# Kinds of orders that may also replace orders with other keys.
+SUPERSEDING_KINDS = (OrderKind.CLEAR, OrderKind.ADMISSION)
 
 
 class OrderQueue:
-    """Orders by key, oldest first."""
+    """Orders by key, in the order in which they are sent."""
 
     def __init__(self) -> None:
-        """Begins without orders."""
+        """The queue is empty initially."""
         self._orders: OrdersByKey = {}
 
     def __len__(self) -> int:
-        """The number of orders."""
+        """The number of queued orders."""
         return len(self._orders)
 
     @property
@@ -40,15 +40,15 @@
 
     @property
     def acknowledgement(self) -> AcknowledgementOrder | None:
-        """The request for acknowledgements, if one waits."""
+        """The queued request for acknowledgements, if there is one."""
         order = self._orders.get(ACKNOWLEDGEMENT_KEY)
         return order if isinstance(order, AcknowledgementOrder) else None
 
     def put(self, order: RelayOrder) -> None:
-        """Adds an order, behind all others, in place of those that it makes obsolete."""
+        """Appends an order and removes those that it replaces."""
         key = order.key
-        if key.kind in COVERING_KINDS:
-            for other in [other for other in self._orders if _is_covered(other, key)]:
+        if key.kind in SUPERSEDING_KINDS:
+            for other in [other for other in self._orders if _is_superseded(other, key)]:
                 del self._orders[other]
         old = self._orders.pop(key, None)
         if isinstance(order, AcknowledgementOrder) and isinstance(old, AcknowledgementOrder):
@@ -57,13 +57,13 @@
         self._orders[key] = order
 
     def put_back(self, orders: Iterable[RelayOrder]) -> None:
-        """Returns orders that were taken; what has come since is newer than they are."""
+        """Puts orders from `take_batch` back in front of those that were added since."""
         newer, self._orders = self._orders, {order.key: order for order in orders}
         for order in newer.values():
             self.put(order)
 
     def replace(self, order: RelayOrder) -> None:
-        """Exchanges an order for another with its key, at the same place."""
+        """Replaces the order with the same key, in its position."""
         self._orders[order.key] = order
 
     def changes_slice(self, slice_id: int) -> bool:
@@ -78,9 +78,9 @@
     def take_batch(
         self, max_bytes: int, max_orders: int | None, size_of: Callable[[RelayOrder], int]
     ) -> OrdersByKey:
-        """Takes the oldest orders that fit into a call, and one at least.
+        """Removes and returns the oldest orders that fit into a call, at least one.
 
-        `max_orders`: None where only the bytes limit it.
+        `max_orders`: None for no limit other than `max_bytes`.
         """
         batch: OrdersByKey = {}
         size = 0
@@ -92,8 +92,8 @@
         return batch
 
 
-def _is_covered(older: OrderKey, newer: OrderKey) -> bool:
-    """Whether the newer order leaves nothing of what the older one sets."""
+def _is_superseded(older: OrderKey, newer: OrderKey) -> bool:
+    """Whether the newer order overrides everything that the older one sets."""
     if newer.kind is OrderKind.CLEAR:
         return older.kind is OrderKind.WEIGHT and older.slice_id == newer.slice_id
     return older.kind is OrderKind.ADMISSION and set(older.request_classes) <= set(
--- a/havendyke/net/peer_codecs.py
+++ b/havendyke/net/peer_codecs.py
@@ -1,4 +1,4 @@
-"""The codecs of all peers, made once and shared by their state machines."""
+"""The message codecs of all peers, shared by their state machines."""
 
 from collections.abc import Callable
 
@@ -10,9 +10,9 @@
 
 
 class PeerCodecs:
-    """Maps the peers' messages to events and orders, over one registry and one configuration.
+    """Maps the peers' messages to events and orders, with one registry and one configuration.
 
-    Requests and framing stay with the modules that own the connections.
+    Requests and framing belong to the modules that own the connections.
     """
 
     def __init__(
@@ -22,7 +22,7 @@
         wall_offset_ms: Callable[[], float],
         now_ms: Callable[[], float],
     ) -> None:
-        """`wall_offset_ms()`: what to add to Unix milliseconds to get the clock's."""
+        """`wall_offset_ms()`: what is added to Unix time (ms) to get the event loop's time."""
         self.registry = registry
         self.settings = config.settings
         self.reports = ReportDecoder(config, registry)
--- a/havendyke/net/proxy_sessions.py
+++ b/havendyke/net/proxy_sessions.py
@@ -10,33 +10,33 @@
 
 
 class ProxySessions:
-    """Reports each change once, whichever stream brings it first."""
+    """Reports each change once, from the stream that receives it first."""
 
     def __init__(
         self, event_loop: EventLoop, registry: ObjectRegistry, notify: Callable[[core.Event], None]
     ) -> None:
-        """Begins with no proxy connected."""
+        """No proxy is connected initially."""
         self._event_loop = event_loop
         self._registry = registry
         self._notify = notify
         self.generations: dict[int, int] = {}  # as reported, by proxy
-        # By proxy: the generation in which it acknowledged last, and the nonce.
+        # By proxy: the generation and the nonce of its latest acknowledgement.
         self._acknowledged: dict[int, tuple[int | None, int]] = {}
-        # When a proxy was reported as connected last; None before the first.
+        # When a proxy was last reported as connected; None before the first.
         self.last_connected_ms: float | None = None
 
     def generation(self, proxy_id: int) -> int:
-        """The generation that the controller knows of."""
+        """The generation last reported to the controller."""
         return self.generations.get(proxy_id, 0)
 
     def is_connected(self, proxy_id: int) -> bool:
-        """Whether the controller takes the proxy for connected."""
+        """Whether the proxy was reported as connected."""
         return is_present(self.generation(proxy_id))
 
     def update(self, proxy_id: int, generation: int, subscription: Subscription | None) -> None:
-        """Reports what a stream knows beyond what was reported.
+        """Reports a proxy's generation, if it is newer than the reported one.
 
-        `subscription`: what the proxy stated; needed where it is connected in this generation.
+        `subscription`: required where the proxy is connected in this generation.
         """
         reported = self.generation(proxy_id)
         if generation <= reported:
@@ -63,11 +63,11 @@
                 self._notify(core.ProxyDisconnected(self._registry.proxy(proxy_id)))
 
     def acknowledge(self, proxy_id: int, acknowledgement: Acknowledgement) -> bool:
-        """Reports an acknowledgement; False where it was reported from another stream already."""
-        seen = (self.generations.get(proxy_id), acknowledgement.nonce)
-        if self._acknowledged.get(proxy_id) == seen:
+        """Reports an acknowledgement; False where another stream has reported it already."""
+        identity = (self.generations.get(proxy_id), acknowledgement.nonce)
+        if self._acknowledged.get(proxy_id) == identity:
             return False
-        self._acknowledged[proxy_id] = seen
+        self._acknowledged[proxy_id] = identity
         self._notify(
             core.PushAcknowledged(
                 self._registry.proxy(proxy_id),
--- a/havendyke/net/published_tables.py
+++ b/havendyke/net/published_tables.py
@@ -1,7 +1,7 @@
-"""Published tables by slice, as far as the relay's snapshots show them.
+"""Published tables by slice, compared with the precision of the relay's snapshots.
 
-A snapshot rounds weights: two tables may look the same and differ by less than a step, and a small
-weight may be shown as 0.
+A snapshot rounds weights to `SNAPSHOT_WEIGHT_STEP`: tables that differ by less look the same, and a
+small weight appears as 0.
 """
 
 from .relay_orders import ClearOrder, RelayOrder, WeightOrder
@@ -10,30 +10,30 @@
 Tables = dict[int, Table]  # by slice id
 
 SNAPSHOT_WEIGHT_STEP = 0.001
-# Half a step, and a little more for weights that were computed in another order.
+# Half a step, with a margin for floating-point sums that were computed in a different order.
 ABSOLUTE_TOLERANCE = 0.501 * SNAPSHOT_WEIGHT_STEP
 RELATIVE_TOLERANCE = 1e-4
-# Stands for a weight that a snapshot has rounded to nothing.
+# Replaces a weight that a snapshot has rounded to 0.
 MIN_WEIGHT = 1e-9
 
 
 def weights_match(weight: float, other: float) -> bool:
-    """Whether two weights are the same, as far as snapshots show."""
+    """Whether two weights are equal within a snapshot's precision."""
     return abs(weight - other) <= ABSOLUTE_TOLERANCE + RELATIVE_TOLERANCE * abs(other)
 
 
 def tables_match(table: Table, other: Table) -> bool:
-    """Whether two tables are the same, as far as snapshots show."""
+    """Whether two tables are equal within a snapshot's precision."""
     return table.keys() == other.keys() and all(
         weights_match(weight, other[server_id]) for server_id, weight in table.items()
     )
 
 
 def restore_precision(snapshot: Table, known: Table) -> Table:
-    """A snapshot's table, with the weights that were rounded where they are known.
+    """A snapshot's table, with the exact weights where they are known.
 
-    A weight shown as 0 is never taken for 0, since the controller would count its slice as covered
-    by a standby endpoint that any order then removes.
+    An entry shown with weight 0 gets `MIN_WEIGHT`: with 0, the controller would count its slice as
+    covered by a standby endpoint that any order then removes.
     """
     return {
         server_id: known[server_id]
@@ -44,7 +44,7 @@
 
 
 def apply_order(tables: Tables, order: RelayOrder) -> None:
-    """Changes the tables as the relay does; those of unknown slices are left out."""
+    """Applies an order to the tables as the relay does; unknown slices are ignored."""
     if not isinstance(order, WeightOrder | ClearOrder):
         return
     table = tables.get(order.slice_id)
--- a/havendyke/net/relay_client.py
+++ b/havendyke/net/relay_client.py
@@ -1,4 +1,4 @@
-"""Calls to the relay: one at a time, in order, retried until it is known what became of them."""
+"""Sends orders to the relay in calls: one at a time, in order, until their outcome is known."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -43,22 +43,22 @@
 
 @dataclass(slots=True)
 class CallInProgress:
-    """A call that is not answered yet."""
+    """A call whose reply is awaited."""
 
     request_id: int
     orders: OrdersByKey
     sent_ms: float
     reply_deadline: Deadline
-    # Orders that were made for an earlier table than the one that has come since.
+    # Orders that were planned for an earlier table than the one reported since.
     obsolete: set[OrderKey] = field(default_factory=set)
 
     def current_orders(self) -> OrdersByKey:
-        """The orders that still hold."""
+        """The orders that are not obsolete."""
         return {key: order for key, order in self.orders.items() if key not in self.obsolete}
 
 
 class RelayClient:
-    """Sends the controller's orders, and keeps account of what the relay has carried out."""
+    """Sends the controller's orders and tracks which ones the relay has carried out."""
 
     name = "relay"
 
@@ -69,7 +69,7 @@
         peer_codecs: PeerCodecs,
         notify: Callable[[Event], None],
     ) -> None:
-        """Connects only once orders wait."""
+        """Connects once there are orders to send."""
         self._event_loop = event_loop
         self._limits = event_loop.limits
         self._registry = peer_codecs.registry
@@ -84,26 +84,26 @@
         self.call: CallInProgress | None = None
         self.connection: Connection | None = None
         self._connected_address: Address | None = None
-        self._parser: LineParser | None = None  # None until the connection is up
-        self._max_orders_per_call: int | None = None  # None: no limit; halved to find a bad order
-        self._table_changed_ms: dict[int, float] = {}  # by slice, when a call that changes it ended
+        self._parser: LineParser | None = None  # None until the connection is established
+        self._max_orders_per_call: int | None = None  # None: no limit; bisects for a bad order
+        self._table_changed_ms: dict[int, float] = {}  # by slice, end of the last call about it
         self._backoff = Backoff(self._limits.call_again, self._limits.again_most)
         self._idle_timer = Timer(event_loop, self.close_idle)
         self._retry_timer = Timer(event_loop, self.send_next)
-        self._recovery_timer = Timer(event_loop, self._try_recovery)
+        self._recovery_timer = Timer(event_loop, self._recover_if_settled)
 
     def start(self) -> None:
-        """Begins to watch the relay; orders leave once proxies have connected.
+        """Starts the watch; orders are sent once proxies have connected.
 
-        A table that is published for no proxy, or for the first of many, is multiplied by all that
-        are connected when the relay takes it.
+        The number of messages that a table causes depends on the proxies connected when the relay
+        carries out the order: orders planned before they have connected could overfill the channel.
         """
         self.channel.starting(len(self.queue))
         self.watch.start()
         self.send_next()
 
     def set_address(self, address: Address) -> None:
-        """The relay has another address from now on; a call in progress ends at the old one."""
+        """Moves to another address of the relay; a call in progress ends at the old one."""
         self.address = address
         self._retry_timer.cancel()
         self._backoff.reset()
@@ -111,30 +111,30 @@
         self.send_next()
 
     def enqueue(self, orders: list[RelayOrder]) -> None:
-        """Adds the orders of a push."""
+        """Queues the orders of a push."""
         for order in orders:
             self.queue.put(order)
             if isinstance(order, AcknowledgementOrder):
                 self.unresolved.push_ordered(order.nonce)
                 self.channel.push_ordered(order.nonce)
-        # One more call would cost more than the few orders that wait for their retry.
+        # Orders that wait for a retry join this call: one more call would cost more than they do.
         self.unresolved.retry_with_newer_orders()
         self.send_next()
 
     def report_diverging_tables(self) -> None:
-        """Reports the published tables where the controller believes others and no order tells why.
+        """Reports the published tables that differ from the controller's with no order as a reason.
 
-        For use after a failed reconciliation, whose orders were lost.
+        Called after a failed reconciliation, whose orders were lost.
         """
         for slice_id, table in list(self.watch.slices.tables.items()):
             now_ms = self._event_loop.now()
             if self.diverges(slice_id, table) and not self.changed_since(slice_id, now_ms):
                 self.watch.slices.report_table(slice_id)
 
-    # Called by the watch, whose `CallTracker` this is.
+    # `CallTracker`, called by the watch.
 
     def changed_since(self, slice_id: int, since_ms: float) -> bool:
-        """Whether a call may have changed a slice's table since then."""
+        """Whether a call may have changed a slice's table since `since_ms`."""
         in_progress = self.call.orders if self.call else {}
         if any(
             keys_for_slice(orders, slice_id) for orders in (in_progress, self.unresolved.orders)
@@ -143,61 +143,61 @@
         return self._table_changed_ms.get(slice_id, LONG_AGO_MS) >= since_ms
 
     def discard_orders(self, slice_id: int) -> None:
-        """Drops the orders for a slice that were made for an earlier table."""
+        """Drops the orders for a slice; they were planned for an earlier table."""
         self.queue.discard_slice(slice_id)
         self.unresolved.discard_slice(slice_id)
         if self.call:
             self.call.obsolete.update(keys_for_slice(self.call.orders, slice_id))
 
     def diverges(self, slice_id: int, table: Table) -> bool:
-        """Whether a table is not the one that is known, or that the controller goes by.
+        """Whether a table differs from the known one or from the controller's.
 
-        Orders that wait explain a difference from the controller's.
+        A difference from the controller's table is expected while orders for the slice wait.
         """
         if not tables_match(table, self.watch.slices.tables.get(slice_id, {})):
             return True
         published = self._registry.slice(slice_id).published
-        believed = {server.id: weight for server, weight in published.items()}
-        return not tables_match(believed, table) and not self.queue.changes_slice(slice_id)
+        controller_table = {server.id: weight for server, weight in published.items()}
+        return not tables_match(controller_table, table) and not self.queue.changes_slice(slice_id)
 
     def acknowledged(self, nonce: int) -> None:
         """A proxy acknowledged a push."""
         self.unresolved.acknowledged(nonce)
 
-    # Called by the unresolved call, whose `CallOwner` this is.
+    # `CallOwner`, called by the unresolved call.
 
     def call_resolved(self, orders: OrdersByKey, carried_out: bool) -> None:
-        """It is known, or taken for granted, what became of a call."""
+        """The outcome of a call is known or was assumed."""
         if carried_out:
             self._carried_out(list(orders.values()))
         else:
             self.queue.put_back(orders.values())
 
     def retry_acknowledgement_request(self, order: AcknowledgementOrder) -> None:
-        """Nobody has acknowledged a push in time."""
+        """No proxy has acknowledged a push in time."""
         self.queue.put(AcknowledgementOrder(order.nonce, all_proxies=True))
 
-    # Called by the connection, whose peer this is.
+    # Called by the connection.
 
     def opened(self, connection: Connection) -> None:
-        """The connection is up."""
+        """The connection is established."""
         self._parser = LineParser(connection.buffer, self._limits.message)
         self.send_next()
         if not self.call:
             self._close_when_idle()
 
     def received(self, connection: Connection) -> None:
-        """More bytes have come."""
+        """Bytes were received: handles the complete replies among them."""
         while self._parser is not None and (line := self._parser.next()) is not None:
             if line:
-                self._take_reply(parse_object(line))
+                self._handle_reply(parse_object(line))
 
     def closed(self, connection: Connection, reason: str) -> None:
-        """The connection has ended."""
+        """The connection was closed."""
         if connection is not self.connection:
             return
         self.connection = self._parser = None
-        # Left running, it would end the next connection while that comes up.
+        # Left running, it would close the next connection while that is being established.
         self._idle_timer.cancel()
         if self.call:
             self._outcome_unknown(self.call, reason)
@@ -217,7 +217,7 @@
             self.connection.close(reason)
 
     def _close_when_idle(self) -> None:
-        # The relay ends idle connections; a call on which it does so would have an unknown outcome.
+        # The relay closes idle connections; a call that crosses this would have an unknown outcome.
         self._idle_timer.start(self._limits.call_idle)
 
     def close_idle(self) -> None:
@@ -228,7 +228,7 @@
     # Sending.
 
     def send_next(self) -> None:
-        """Goes on with the orders that wait, if nothing stands in their way."""
+        """Sends the next queued orders, unless a call, retry or unresolved call is pending."""
         if self.call:
             return
         if self._connected_address != self.address:
@@ -258,15 +258,15 @@
         connection.write(encode_call(request_id, Method.APPLY, list(orders.values())))
 
     def _recover(self) -> None:
-        """Nothing waits: the controller goes on from the tables that stand."""
+        """No order is queued: reports the channel as available, at once or after a delay."""
         if self.channel.state is ChannelState.CALL_UNRESOLVED:
             self.channel.available()
         elif not self.channel.is_available and not self._recovery_timer.running:
-            # Proxies that connect meanwhile are reported on other connections.
+            # Proxies that connect in the meantime are reported on other connections.
             self._recovery_timer.start(self._limits.news_settle)
 
-    def _try_recovery(self) -> None:
-        """Orders leave again once the proxies that connect meanwhile are counted."""
+    def _recover_if_settled(self) -> None:
+        """Reports the channel as available, once no more proxies are connecting."""
         if not self._proxies_settled():
             self.send_next()
         elif not (self.call or self.unresolved.orders or self._retry_timer.running or self.queue):
@@ -280,17 +280,18 @@
         return now_ms - last_ms > self._limits.news_settle or waited_ms > self._limits.joining
 
     def _pause(self, reason: str) -> None:
-        """Retries with backoff."""
+        """Reports the relay as unreachable and retries with backoff."""
         self.channel.unreachable(reason, len(self.queue))
         self._return_table_changes()
         if not self._retry_timer.running:
             self._retry_timer.start(self._backoff.next())
 
     def _return_table_changes(self) -> None:
-        """Drops table changes that were surely not carried out, and reports the published tables.
+        """Drops table changes that were certainly not carried out and reports the published tables.
 
-        They were planned for the proxies of then, and published later they would be multiplied by
-        all that have connected since. With exclusive ownership they keep their order and wait.
+        They were planned for the proxies connected at that time; sent later, they would also go to
+        all proxies that have connected since and could overfill the channel. With exclusive
+        ownership the changes stay queued, in their order.
         """
         if self.unresolved.orders or self._exclusive_ownership:
             return
@@ -299,13 +300,14 @@
             self.watch.slices.report_table(slice_id)
         request = self.queue.acknowledgement
         if request is not None:
-            # The request stays, to find out whether the relay is up; no proxy need answer it.
+            # The request stays queued, to find out whether the relay is available; no proxy needs
+            # to acknowledge it.
             self.queue.replace(AcknowledgementOrder(request.nonce, all_proxies=False))
             self.channel.report_unsent()
 
-    # How a call ends.
+    # Outcomes of a call.
 
-    def _take_reply(self, message: dict[str, Any]) -> None:
+    def _handle_reply(self, message: dict[str, Any]) -> None:
         call = self.call
         if call is None or not is_reply_to(message, call.request_id):
             self._event_loop.count("relay_stale_replies")
@@ -329,24 +331,24 @@
         self._end_call(call, "answered")
         self._max_orders_per_call = None
         orders = list(call.orders.values())
-        # Of obsolete orders it is unknown whether they came before the table that has been
-        # reported since; a snapshot is requested for it.
+        # It is unknown whether obsolete orders took effect before or after the table that was
+        # reported since; a snapshot is requested for that table.
         self._carried_out([o for o in orders[:order_count] if o.key not in call.obsolete])
         if order_count < len(orders):
             self._event_loop.count("relay_partial")
-            self._leave_out(orders[order_count])
+            self._discard_rejected(orders[order_count])
             remaining = orders[order_count + 1 :]
             self.queue.put_back([o for o in remaining if o.key not in call.obsolete])
             self._report_table_without(orders[order_count])
         self._close_when_idle()
         self.send_next()
 
-    def _leave_out(self, order: RelayOrder) -> None:
-        """Drops an order that the relay cannot use; retried, it would block all that follow."""
+    def _discard_rejected(self, order: RelayOrder) -> None:
+        """Drops an order that the relay rejects; retried, it would block all later ones."""
         self._event_loop.log("order_rejected", order=encode_order(order))
 
     def _report_table_without(self, order: RelayOrder) -> None:
-        """Reports the table that the controller takes for changed by an order left out."""
+        """Reports the table that the controller assumes a discarded order has changed."""
         if isinstance(order, WeightOrder) and order.slice_id in self.watch.slices.tables:
             self.watch.slices.report_table(order.slice_id)
 
@@ -357,15 +359,15 @@
             error = result.message[:MAX_LOGGED_ERROR_CHARS]
             self._event_loop.log("call_unreadable", error=error, orders=len(orders))
             self._event_loop.count("relay_unreadable")
-            # Halving finds the order at fault, so that the others are not lost with it.
+            # Halving the calls isolates the invalid order, so that no other is lost with it.
             self._max_orders_per_call = len(orders) // 2 or None
             if self._max_orders_per_call is None:
                 for order in orders.values():
-                    self._leave_out(order)
+                    self._discard_rejected(order)
                     self._report_table_without(order)
                 orders = {}
         self.queue.put_back(orders.values())
-        # A relay that answers is up, and need not be spared by longer waits.
+        # A relay that replies is available, so the backoff does not need to grow.
         self._backoff.reset()
         self._pause(result.message[:MAX_REASON_CHARS])
 
--- a/havendyke/net/relay_orders.py
+++ b/havendyke/net/relay_orders.py
@@ -1,4 +1,4 @@
-"""Orders for the relay, by ids, and the keys under which a newer order replaces an older one."""
+"""Orders for the relay, with ids in place of objects, and the keys by which they replace others."""
 
 from enum import Enum, auto
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class OrderKind(Enum):
-    """What an order sets."""
+    """What an order changes."""
 
     WEIGHT = auto()
     CLEAR = auto()
@@ -17,7 +17,7 @@
 
 
 class OrderKey(NamedTuple):
-    """What a newer order replaces: orders with the same key set the same thing."""
+    """Identifies what an order sets; a newer order replaces an older one with the same key."""
 
     kind: OrderKind
     slice_id: int | None = None  # of orders that change a slice's published table
@@ -25,7 +25,7 @@
     request_classes: tuple[str, ...] = ()
 
 
-# There is one request for acknowledgements at a time.
+# At most one request for acknowledgements is queued at a time.
 ACKNOWLEDGEMENT_KEY = OrderKey(OrderKind.ACKNOWLEDGEMENT)
 
 
@@ -38,7 +38,7 @@
 
     @property
     def key(self) -> OrderKey:
-        """What a newer order replaces."""
+        """The key under which a newer order replaces this one."""
         return OrderKey(OrderKind.WEIGHT, self.slice_id, self.server_id)
 
 
@@ -49,24 +49,24 @@
 
     @property
     def key(self) -> OrderKey:
-        """What a newer order replaces."""
+        """The key under which a newer order replaces this one."""
         return OrderKey(OrderKind.CLEAR, self.slice_id)
 
 
 class EjectionOrder(NamedTuple):
-    """Ejects a server at all proxies, or returns it."""
+    """Ejects a server at all proxies, or ends its ejection."""
 
     server_id: str
     ejected: bool
 
     @property
     def key(self) -> OrderKey:
-        """What a newer order replaces."""
+        """The key under which a newer order replaces this one."""
         return OrderKey(OrderKind.EJECTION, server_id=self.server_id)
 
 
 class AdmissionOrder(NamedTuple):
-    """Sets for all proxies what they admit and retry of some request classes."""
+    """Sets the admission limit and retry policy of some request classes at all proxies."""
 
     request_classes: tuple[str, ...]
     limit: float
@@ -74,19 +74,19 @@
 
     @property
     def key(self) -> OrderKey:
-        """What a newer order replaces."""
+        """The key under which a newer order replaces this one."""
         return OrderKey(OrderKind.ADMISSION, request_classes=self.request_classes)
 
 
 class AcknowledgementOrder(NamedTuple):
-    """Ends a push: each proxy that got a part of it answers with the nonce."""
+    """Ends a push: each proxy that received a part of it acknowledges with the nonce."""
 
     nonce: int
-    all_proxies: bool  # also those that got no part of it
+    all_proxies: bool  # also those that received no part of the push
 
     @property
     def key(self) -> OrderKey:
-        """What a newer order replaces."""
+        """The key under which a newer order replaces this one."""
         return ACKNOWLEDGEMENT_KEY
 
 
@@ -105,6 +105,6 @@
 
 
 def requested_nonce(orders: list[RelayOrder]) -> int | None:
-    """The nonce that a push ends with, or None for a push that asks for no acknowledgement."""
+    """The nonce of a push, or None if it requests no acknowledgements."""
     last = orders[-1]
     return last.nonce if isinstance(last, AcknowledgementOrder) else None
--- a/havendyke/net/relay_stream.py
+++ b/havendyke/net/relay_stream.py
@@ -1,7 +1,7 @@
-"""One watch at the relay: first everything that stands, then changes, as a state machine.
+"""One watch stream of the relay as a state machine: the present state first, then changes.
 
-The relay marks neither the end of what stands nor the end of a slice's table. They are taken for
-complete once nothing more has come for a moment.
+The relay marks neither the end of the present state nor the end of a slice's table. They count as
+complete once no further message has arrived for `limits.news_settle`.
 """
 
 from enum import Enum, auto
@@ -10,7 +10,7 @@
 from ..fields import FieldError
 from .connection import MAX_LOGGED_FIELD_CHARS, CloseReason, Connection
 from .event_loop import Address, EventLoop
-from .generations import after_arrival, after_departure, is_present, present
+from .generations import is_present, next_absent, next_present, present_from
 from .json_lines import LineParser, parse_object
 from .proxy_sessions import ProxySessions
 from .published_tables import Table, Tables
@@ -31,20 +31,20 @@
 class StreamPurpose(Enum):
     """What a stream is opened for."""
 
-    WATCH = auto()  # everything that stands, then changes
-    SNAPSHOT = auto()  # what stands, once
+    WATCH = auto()  # the present state, then changes
+    SNAPSHOT = auto()  # the present state once
 
 
 class StreamState(Enum):
-    """How far a stream has come."""
+    """The phase of a stream."""
 
     REQUESTED = auto()
-    GRANTED = auto()  # the relay sends what stands
-    SYNCHRONISED = auto()  # what stands was taken over; a snapshot stream ends instead
+    GRANTED = auto()  # the relay sends the present state
+    SYNCHRONISED = auto()  # the present state was applied; a snapshot stream is closed instead
 
 
 class StreamOwner(Protocol):
-    """The watch that a stream is a part of."""
+    """The watch that a stream belongs to."""
 
     event_loop: EventLoop
     codec: RelayCodec
@@ -59,14 +59,14 @@
         """A proxy acknowledged a push."""
 
     def tables_received(self, stream: "RelayStream", tables: Tables) -> None:
-        """The tables that have come are complete."""
+        """The tables received so far are complete."""
 
     def stream_closed(self, stream: "RelayStream", reason: str) -> None:
-        """The stream has ended."""
+        """The stream's connection was closed."""
 
 
 class RelayStream:
-    """One connection that watches the relay."""
+    """One connection on which the relay sends notifications."""
 
     name = "relay_watch"
 
@@ -78,91 +78,91 @@
         self.state = StreamState.REQUESTED
         self._parser: LineParser | None = None
         self._silence_timer = Timer(self._event_loop, lambda: self.close(CloseReason.SILENT))
-        self._completion_timer = Timer(self._event_loop, self._complete)
-        # Generations as this stream has seen them.
+        self._completion_timer = Timer(self._event_loop, self._finish_tables)
+        # Generations by id, counted from this stream's own notifications.
         self.proxies: dict[int, int] = {}
         self.slices: dict[int, int] = {}
         self.subscriptions: dict[int, Subscription] = {}
         self._partial_tables: Tables = {}
-        self.assigned_ms: dict[int, float] = {}  # when each slice was assigned last
-        self._late_entry_ms: dict[int, float] = {}  # when an entry of its table came late
+        self.assigned_ms: dict[int, float] = {}  # by slice, time of the latest assignment
+        self._late_entry_ms: dict[int, float] = {}  # by slice, time of the latest late entry
         self.requested_ms = self._event_loop.now()
         self.address = owner.address
-        # None where no slot was free: the stream is of no use then.
+        # None where no connection slot was free; the stream is then unusable.
         self.connection: Connection | None = self._event_loop.connect(self.address, self)
         if self.connection is not None:
             self._expect_message()
 
     @property
     def is_watch(self) -> bool:
-        """Whether it goes on after what stands."""
+        """Whether the stream stays open after the present state."""
         return self.purpose is StreamPurpose.WATCH
 
     @property
     def is_synchronised(self) -> bool:
-        """Whether it has brought what stands and follows the changes."""
+        """Whether the present state was applied and the stream follows changes."""
         return self.state is StreamState.SYNCHRONISED
 
     @property
     def last_received_ms(self) -> float:
-        """When bytes came last."""
+        """When bytes were received last."""
         return self.connection.last_received_ms if self.connection is not None else LONG_AGO_MS
 
     def close(self, reason: CloseReason) -> None:
-        """Ends the stream."""
+        """Closes the stream's connection."""
         if self.connection is not None:
             self.connection.close(reason)
 
     def opened(self, connection: Connection) -> None:
-        """The connection is up: asks for the watch."""
+        """The connection is established: requests the watch."""
         self._parser = LineParser(connection.buffer, self._event_loop.limits.message)
         self.requested_ms = self._event_loop.now()
         connection.write(encode_call(self._owner.next_request_id(), Method.WATCH))
 
     def received(self, connection: Connection) -> None:
-        """More bytes have come."""
-        complete = False
+        """Bytes were received: handles the complete messages among them."""
+        has_message = False
         while self._parser is not None and (line := self._parser.next()) is not None:
             if line:
-                self._take(parse_object(line))
-                complete = True
-        # Bytes that never make a message count as silence.
-        if complete and self.is_watch:
+                self._handle_message(parse_object(line))
+                has_message = True
+        # Bytes without a complete message do not restart the silence timer.
+        if has_message and self.is_watch:
             self._expect_message()
 
     def closed(self, connection: Connection, reason: str) -> None:
-        """The connection has ended."""
+        """The connection was closed."""
         self._silence_timer.cancel()
         self._completion_timer.cancel()
         self._owner.stream_closed(self, reason)
 
     def _expect_message(self) -> None:
         limits = self._event_loop.limits
-        # A snapshot stream has one deadline for all of it.
+        # A snapshot stream has one deadline for the whole snapshot.
         wait_ms = limits.news_silence if self.is_watch else limits.look
         self._silence_timer.start(wait_ms)
 
-    def _take(self, message: dict[str, Any]) -> None:
+    def _handle_message(self, message: dict[str, Any]) -> None:
         kind = self._owner.codec.notification_type(message)
         if kind is None:
             if self.state is StreamState.REQUESTED:
                 self.state = StreamState.GRANTED
-            self._await_completion()
+            self._restart_completion_timer()
         elif kind is NotificationType.ACKNOWLEDGEMENT:
-            self._take_acknowledgement(message)
+            self._handle_acknowledgement(message)
         elif kind is not NotificationType.PING:
-            self._take_notification(kind, message)
+            self._handle_notification(kind, message)
 
-    def _take_acknowledgement(self, message: dict[str, Any]) -> None:
+    def _handle_acknowledgement(self, message: dict[str, Any]) -> None:
         try:
-            self._take_notification(NotificationType.ACKNOWLEDGEMENT, message)
+            self._handle_notification(NotificationType.ACKNOWLEDGEMENT, message)
         except FieldError as error:
             # A lost acknowledgement only delays its slices until the next push. After any other
-            # invalid notification it is unknown what stands, and the stream must begin anew.
+            # invalid notification the relay's state is unknown, and the stream must be replaced.
             self._event_loop.count("bad_acknowledgements")
             self._event_loop.log("bad_acknowledgement", field=str(error)[:MAX_LOGGED_FIELD_CHARS])
 
-    def _take_notification(self, kind: NotificationType, message: dict[str, Any]) -> None:
+    def _handle_notification(self, kind: NotificationType, message: dict[str, Any]) -> None:
         notification = self._owner.codec.notification(kind, message)
         subject_id = notification.subject_id
         if subject_id is None:
@@ -184,39 +184,39 @@
     def _proxy_connected(self, proxy_id: int, params: dict[str, Any]) -> None:
         self.subscriptions[proxy_id] = self._owner.codec.subscription(params)
         reported, seen = self._owner.proxies.generation(proxy_id), self.proxies.get(proxy_id)
-        # The first time, it is the connection that was reported, if one was.
-        self.proxies[proxy_id] = present(reported) if seen is None else after_arrival(seen)
+        # The stream's first report may repeat a connection that another stream has reported.
+        self.proxies[proxy_id] = present_from(reported) if seen is None else next_present(seen)
         if self.is_synchronised:
             self.report_proxy(proxy_id)
         else:
-            self._await_completion()
+            self._restart_completion_timer()
 
     def _proxy_disconnected(self, proxy_id: int) -> None:
         seen = self.proxies.get(proxy_id, self._owner.proxies.generation(proxy_id))
-        self.proxies[proxy_id] = after_departure(seen)
+        self.proxies[proxy_id] = next_absent(seen)
         if self.is_synchronised:
             self.report_proxy(proxy_id)
 
     def report_proxy(self, proxy_id: int) -> None:
-        """Reports what this stream has seen of a proxy, where that is new."""
+        """Reports this stream's state of a proxy, if its generation is newer."""
         generation = self.proxies[proxy_id]
         self._owner.proxies.update(proxy_id, generation, self.subscriptions.get(proxy_id))
 
     def _acknowledged(self, proxy_id: int, params: dict[str, Any]) -> None:
         acknowledgement = self._owner.codec.acknowledgement(params)
-        # A proxy that is not connected cannot have got a push.
+        # A proxy that is not connected cannot have received a push.
         if self.is_watch and self._owner.proxies.is_connected(proxy_id):
             self._owner.acknowledged(proxy_id, acknowledgement)
 
     def _slice_assignment(self, slice_id: int, params: dict[str, Any]) -> None:
         reported, seen = self._owner.slices.generation(slice_id), self.slices.get(slice_id)
         if self._owner.codec.assigned(params):
-            self.slices[slice_id] = present(reported) if seen is None else after_arrival(seen)
+            self.slices[slice_id] = present_from(reported) if seen is None else next_present(seen)
             self._partial_tables[slice_id] = {}
             self.assigned_ms[slice_id] = self._event_loop.now()
-            self._await_completion()
+            self._restart_completion_timer()
             return
-        generation = after_departure(reported if seen is None else seen)
+        generation = next_absent(reported if seen is None else seen)
         self.slices[slice_id] = generation
         self._partial_tables.pop(slice_id, None)
         if generation > reported and self.is_watch:
@@ -225,18 +225,18 @@
     def _table_entry(self, slice_id: int, params: dict[str, Any]) -> None:
         entry = self._owner.codec.table_entry(params)
         if slice_id not in self._partial_tables:
-            # A long gap in the bytes has cut it off from its assignment.
+            # The entry arrived so long after its assignment that the table counted as complete.
             known = self._owner.slices.tables.get(slice_id, {})
             if entry.server_id in known or not is_present(self.slices.get(slice_id, 0)):
                 return
             if self._is_too_late(slice_id):
-                # It is unknown whether it still stands; ignored, its server would keep a share of
-                # the traffic that nobody knows of.
+                # The entry may be outdated. Ignored without a check, its server could keep a share
+                # of the traffic that the controller does not know of.
                 self._owner.slices.verify(slice_id)
                 return
             self._reopen_table(slice_id, known)
         self._partial_tables[slice_id][entry.server_id] = entry.weight
-        self._await_completion()
+        self._restart_completion_timer()
 
     def _is_too_late(self, slice_id: int) -> bool:
         last_ms = max(
@@ -246,21 +246,22 @@
         return self._event_loop.now() - last_ms > self._event_loop.limits.late_row
 
     def _reopen_table(self, slice_id: int, known: Table) -> None:
-        """Goes on with the known table, as if the slice had been assigned again with it."""
+        """Reopens the known table for late entries, as if the slice were assigned anew with it."""
         self._partial_tables[slice_id] = dict(known)
-        # The time of the assignment stays: these entries do not show what a call did since then.
+        # `assigned_ms` is not updated: late entries do not show what a call has changed since.
         self._late_entry_ms[slice_id] = self._event_loop.now()
-        self.slices[slice_id] = after_arrival(self.slices[slice_id])
+        self.slices[slice_id] = next_present(self.slices[slice_id])
 
-    def _await_completion(self) -> None:
+    def _restart_completion_timer(self) -> None:
         self._completion_timer.start(self._event_loop.limits.news_settle)
 
-    def _complete(self) -> None:
+    def _finish_tables(self) -> None:
         if self.state is StreamState.REQUESTED:
             return
         if self._parser is not None and self._parser.has_partial_line():
-            # More is on its way. Should it never come, silence ends the stream.
-            self._await_completion()
+            # The rest of a message is still to come; if it never does, the silence timer closes
+            # the stream.
+            self._restart_completion_timer()
             return
         tables, self._partial_tables = self._partial_tables, {}
         self._owner.tables_received(self, tables)
--- a/havendyke/net/relay_watch.py
+++ b/havendyke/net/relay_watch.py
@@ -1,7 +1,8 @@
-"""The relay's watch, on two streams or more, so that the loss of one loses no change.
+"""The relay's watch on two or more redundant streams, so that no change is lost with one of them.
 
-Each change is reported once, whichever stream brings it first. Where all streams were lost, changes
-may have been missed: what stands then is compared with what was reported.
+Each change is reported once, by the stream that receives it first. After all streams were lost,
+changes may have been missed: the next stream's present state is then compared with what was
+reported.
 """
 
 from collections.abc import Callable
@@ -12,25 +13,25 @@
 from .backoff import Backoff
 from .connection import CloseReason
 from .event_loop import Address, EventLoop
-from .generations import aligned, is_present
+from .generations import aligned_from, is_present
 from .proxy_sessions import ProxySessions
 from .published_tables import Tables
 from .relay_stream import RelayStream, StreamPurpose, StreamState
 from .slice_assignments import CallTracker, SliceAssignments
 from .wire_relay import Acknowledgement, RelayCodec
 
-TakeSnapshot = Callable[[Tables], None]
+SnapshotCallback = Callable[[Tables], None]
 
 
 class SnapshotRequest(NamedTuple):
-    """A request for the tables as they stand at `since_ms` or later."""
+    """A request for the tables as they are at `since_ms` or later."""
 
     since_ms: float
-    take: TakeSnapshot
+    callback: SnapshotCallback
 
 
 class RelayWatch:
-    """Opens and replaces streams, and decides which of them is believed."""
+    """Opens and replaces streams, and merges what they report."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         notify: Callable[[core.Event], None],
         calls: CallTracker,
     ) -> None:
-        """Opens nothing before `start`."""
+        """Opens no stream before `start`."""
         self.event_loop = event_loop
         self.address = address
         self.codec = codec
@@ -51,7 +52,7 @@
         self.streams: list[RelayStream] = []
         self._snapshot_requests: list[SnapshotRequest] = []
         self._last_request_id = 0
-        # Changes may have been lost, since no stream was left that had them all.
+        # Changes may have been missed, because all synchronised streams were lost.
         self._has_gap = False
         self._backoff = Backoff(event_loop.limits.call_again, event_loop.limits.again_most)
 
@@ -61,9 +62,10 @@
         return self._last_request_id
 
     def start(self) -> None:
-        """Opens the streams that are missing.
+        """Opens the missing streams.
 
-        There is one until it is synchronised, to spare a relay that is unavailable.
+        Until the first stream is synchronised no other is opened, to limit the load on a relay that
+        is unavailable.
         """
         while len(self._streams_at_address()) < self._wanted_streams():
             if not self.add_stream():
@@ -71,7 +73,7 @@
                 return
 
     def add_stream(self) -> bool:
-        """Opens one more stream; False where no slot is free."""
+        """Opens one more stream; False where no connection slot is free."""
         stream = RelayStream(self, StreamPurpose.WATCH)
         if stream.connection is None:
             return False
@@ -79,18 +81,18 @@
         return True
 
     def set_address(self, address: Address) -> None:
-        """Watches the relay at another address from now on.
+        """Moves the watch to another address of the relay.
 
-        The old streams end once a new one is synchronised: ended before, all proxies would be taken
-        for disconnected.
+        The old streams are closed once a new one is synchronised; closed earlier, all proxies would
+        be reported as disconnected.
         """
         self.address = address
         self._backoff.reset()
         self.start()
 
-    def request_snapshot(self, take: TakeSnapshot) -> None:
-        """Calls `take(tables)` once with the tables as they stand from now on."""
-        self._snapshot_requests.append(SnapshotRequest(self.event_loop.now(), take))
+    def request_snapshot(self, callback: SnapshotCallback) -> None:
+        """Calls `callback(tables)` once, with the tables as they are now or later."""
+        self._snapshot_requests.append(SnapshotRequest(self.event_loop.now(), callback))
         self._open_snapshot_stream()
 
     def acknowledged(self, proxy_id: int, acknowledgement: Acknowledgement) -> None:
@@ -99,18 +101,18 @@
             self._calls.acknowledged(acknowledgement.nonce)
 
     def tables_received(self, stream: RelayStream, tables: Tables) -> None:
-        """A stream has brought complete tables."""
+        """A stream has received complete tables."""
         if not stream.is_watch:
             self._answer_snapshot_requests(stream, tables)
             stream.close(CloseReason.DONE)
         elif stream.is_synchronised:
-            self._take_over_tables(stream, tables, None)
+            self._apply_tables(stream, tables, None)
         else:
             self._synchronise(stream, tables)
             self._answer_snapshot_requests(stream, tables)
 
     def stream_closed(self, stream: RelayStream, reason: str) -> None:
-        """A stream has ended; another takes its place."""
+        """A stream was closed; another one replaces it."""
         if not stream.is_watch:
             if reason != CloseReason.DONE:
                 self.event_loop.after(self._backoff.next(), self._open_snapshot_stream)
@@ -119,21 +121,21 @@
             self.streams.remove(stream)
         if stream.is_synchronised:
             self._synchronised_stream_lost(stream, reason)
-        for other in self._synchronised():
+        for other in self._synchronised_streams():
             self._align_all_proxies(other)
             self._align_slices(other)
-        # A stream that failed before it was synchronised is not replaced at once: a relay that
-        # answers each wrongly would be asked without end.
+        # A stream that failed before it was synchronised is replaced with backoff: a relay that
+        # fails every stream would otherwise be sent requests in a tight loop.
         self.event_loop.after(0.0 if stream.is_synchronised else self._backoff.next(), self.start)
 
     def _streams_at_address(self) -> list[RelayStream]:
         return [stream for stream in self.streams if stream.address == self.address]
 
     def _wanted_streams(self) -> int:
-        synchronised = any(stream.is_synchronised for stream in self._streams_at_address())
-        return self.event_loop.limits.news_streams if synchronised else 1
+        has_synchronised = any(stream.is_synchronised for stream in self._streams_at_address())
+        return self.event_loop.limits.news_streams if has_synchronised else 1
 
-    def _synchronised(self) -> list[RelayStream]:
+    def _synchronised_streams(self) -> list[RelayStream]:
         return [stream for stream in self.streams if stream.is_synchronised]
 
     def _close_moved_streams(self) -> None:
@@ -142,39 +144,39 @@
                 stream.close(CloseReason.MOVED)
 
     def _open_snapshot_stream(self) -> None:
-        # Without a synchronised stream the next one that is will do.
-        if not self._snapshot_requests or not self._synchronised():
+        # Without a synchronised stream, the next one to be synchronised answers the requests.
+        if not self._snapshot_requests or not self._synchronised_streams():
             return
         if RelayStream(self, StreamPurpose.SNAPSHOT).connection is None:
             self.event_loop.after(self._backoff.next(), self._open_snapshot_stream)
 
     def _answer_snapshot_requests(self, stream: RelayStream, tables: Tables) -> None:
-        """Answers all that was requested before the stream asked for what stands."""
+        """Answers the requests made before the stream requested the present state."""
         requests = self._snapshot_requests
         self._snapshot_requests = [r for r in requests if r.since_ms > stream.requested_ms]
         for request in [r for r in requests if r.since_ms <= stream.requested_ms]:
-            request.take(tables)
+            request.callback(tables)
 
     def _synchronised_stream_lost(self, stream: RelayStream, reason: str) -> None:
-        if not self._has_witness(stream):
-            # Acknowledgements that only the lost stream would have brought are gone and never
-            # repeated: a channel that is believed full of them would take no orders.
-            for other in self._synchronised():
+        if not self._is_covered_by_another(stream):
+            # Acknowledgements that only the lost stream would have carried are never repeated, and
+            # a push channel that counts them as outstanding would take no more orders.
+            for other in self._synchronised_streams():
                 other.close(CloseReason.OVERDUE)
-        self.event_loop.log("watch_lost", why=reason, left=len(self._synchronised()))
-        if not self._synchronised():
+        self.event_loop.log("watch_lost", why=reason, left=len(self._synchronised_streams()))
+        if not self._synchronised_streams():
             self._has_gap = True
         for slice_id, assigned_ms in stream.assigned_ms.items():
-            # Entries of a table that it had begun to bring may be lost with it.
+            # Entries of a table that the stream had received in part may be lost.
             if self.event_loop.now() - assigned_ms < self.event_loop.limits.late_row:
                 self.slices.verify(slice_id)
 
-    def _has_witness(self, lost: RelayStream) -> bool:
-        """Whether another stream has brought all that the lost one missed since its last bytes."""
+    def _is_covered_by_another(self, lost: RelayStream) -> bool:
+        """Whether another stream has received everything since the lost stream's last bytes."""
         overdue_ms = self.event_loop.now() - self.event_loop.limits.news_overdue
         return any(
             stream.requested_ms <= lost.last_received_ms and stream.last_received_ms >= overdue_ms
-            for stream in self._synchronised()
+            for stream in self._synchronised_streams()
         )
 
     def _align_all_proxies(self, stream: RelayStream) -> None:
@@ -182,23 +184,23 @@
             self._align_proxy(proxy_id, stream)
 
     def _align_proxy(self, proxy_id: int, stream: RelayStream) -> None:
-        """Makes what was reported of a proxy what this stream has seen."""
+        """Sets the reported state of a proxy to this stream's."""
         reported = self.proxies.generation(proxy_id)
-        stream.proxies[proxy_id] = aligned(reported, stream.proxies.get(proxy_id, 0))
+        stream.proxies[proxy_id] = aligned_from(reported, stream.proxies.get(proxy_id, 0))
         stream.report_proxy(proxy_id)
 
     def _align_slices(self, stream: RelayStream) -> None:
-        """Counts a stream's generations from those that were reported."""
+        """Renumbers a stream's slice generations from the reported ones."""
         for slice_id, reported in self.slices.generations.items():
-            stream.slices[slice_id] = aligned(reported, stream.slices.get(slice_id, 0))
+            stream.slices[slice_id] = aligned_from(reported, stream.slices.get(slice_id, 0))
 
     def _synchronise(self, stream: RelayStream, tables: Tables) -> None:
-        """A stream has brought everything that stands."""
-        is_only_one = not self._synchronised()
+        """Applies a stream's present state, which is complete."""
+        is_only_one = not self._synchronised_streams()
         stream.state = StreamState.SYNCHRONISED
         if is_only_one and self._has_gap:
-            # Proxies may have left and come again meanwhile, and acknowledgements were lost:
-            # nothing that was reported holds any more.
+            # Proxies may have reconnected in the meantime, and acknowledgements were lost: nothing
+            # that was reported before is valid any more.
             self.proxies.disconnect_all()
             self.slices.unassign_missing(tables)
             self._has_gap = False
@@ -207,19 +209,20 @@
         else:
             for proxy_id in stream.proxies:
                 stream.report_proxy(proxy_id)
-        self._take_over_tables(stream, tables, stream.requested_ms)
+        self._apply_tables(stream, tables, stream.requested_ms)
         self._backoff.reset()
         self.start()
-        # A pause within what stands looks like its end; the old streams bridge it.
+        # A pause within the present state may have been mistaken for its end; until the rest has
+        # arrived, the old streams stay open.
         self.event_loop.after(self.event_loop.limits.overlap, self._close_moved_streams)
         self.event_loop.log(
             "watch_synchronised",
-            streams=len(self._synchronised()),
+            streams=len(self._synchronised_streams()),
             proxies=sum(map(is_present, stream.proxies.values())),
             slices=len(tables),
         )
 
-    def _take_over_tables(
+    def _apply_tables(
         self, stream: RelayStream, tables: Tables, requested_ms: float | None
     ) -> None:
         for slice_id, table in tables.items():
--- a/havendyke/net/resource_usage.py
+++ b/havendyke/net/resource_usage.py
@@ -1,4 +1,4 @@
-"""What the process uses of the machine, as counters."""
+"""Counters of the process's resource usage."""
 
 import gc
 import os
@@ -6,8 +6,8 @@
 
 
 def resource_usage() -> dict[str, float]:
-    """The counters by name: MiB, open descriptors, CPU seconds, garbage collections."""
-    # Linux states `ru_maxrss` in KiB.
+    """Peak memory (MiB), open descriptors, CPU time (s), garbage collections, by counter name."""
+    # Linux reports `ru_maxrss` in KiB.
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return {
         "memory_max_mb": round(usage.ru_maxrss / 1024, 1),
--- a/havendyke/net/slice_assignments.py
+++ b/havendyke/net/slice_assignments.py
@@ -13,23 +13,23 @@
 
 
 class CallTracker(Protocol):
-    """The calls to the relay, as the watch sees them: what they may have changed."""
+    """What the watch needs to know of the calls to the relay."""
 
     def changed_since(self, slice_id: int, since_ms: float, /) -> bool:
-        """Whether a call may have changed a slice's table since then."""
+        """Whether a call may have changed a slice's table since `since_ms`."""
 
     def discard_orders(self, slice_id: int, /) -> None:
-        """Drops orders for a slice that were made for an earlier table."""
+        """Drops the orders for a slice; they were planned for an earlier table."""
 
     def diverges(self, slice_id: int, table: Table, /) -> bool:
-        """Whether a table is not the one that is known, or that the controller goes by."""
+        """Whether a table differs from the known one or from the controller's."""
 
     def acknowledged(self, nonce: int, /) -> None:
         """A proxy acknowledged a push."""
 
 
 class SliceAssignments:
-    """Reports assignments and tables to the controller, and verifies tables that are uncertain."""
+    """Reports assignments and tables to the controller, and verifies tables that may be wrong."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         calls: CallTracker,
         request_snapshot: RequestSnapshot,
     ) -> None:
-        """Begins with no slice assigned."""
+        """No slice is assigned initially."""
         self._event_loop = event_loop
         self._registry = registry
         self._notify = notify
@@ -51,7 +51,7 @@
         self._verifying = False
 
     def generation(self, slice_id: int) -> int:
-        """The generation that the controller knows of."""
+        """The generation last reported to the controller."""
         return self.generations.get(slice_id, 0)
 
     def assign(self, slice_id: int, generation: int, table: Table) -> None:
@@ -64,7 +64,7 @@
             self._notify(core.SnapshotEntry(slice_, self._registry.server(server_id), weight))
 
     def report_table(self, slice_id: int) -> None:
-        """Reports an assigned slice's table once more, for a controller that believes another."""
+        """Reports an assigned slice's table again, to correct the controller's copy."""
         self.assign(slice_id, self.generations[slice_id], self.tables[slice_id])
 
     def unassign(self, slice_id: int, generation: int) -> None:
@@ -75,7 +75,7 @@
         self._notify(core.SliceAssignment(self._registry.slice(slice_id), False))
 
     def unassign_missing(self, assigned: Iterable[int]) -> None:
-        """Reports all slices but these as no longer assigned."""
+        """Reports all slices except these as no longer assigned."""
         for slice_id, generation in list(self.generations.items()):
             if is_present(generation) and slice_id not in assigned:
                 self.unassign(slice_id, generation + 1)
@@ -83,10 +83,10 @@
     def update(
         self, slice_id: int, generation: int, snapshot: Table, requested_ms: float | None
     ) -> int:
-        """Takes over a table that a stream has brought; returns the generation it has from now on.
+        """Applies a table that a stream has received; returns the stream's generation for it.
 
-        `requested_ms`: when the stream asked for the present tables, None where the table came as a
-        change.
+        `requested_ms`: when the stream requested the present tables, or None where the table was
+        received as a change.
         """
         reported = self.generation(slice_id)
         table = restore_precision(snapshot, self.tables.get(slice_id, {}))
@@ -94,8 +94,8 @@
         if generation > reported:
             self.assign(slice_id, generation, table)
             if requested_ms is None:
-                # It is known when the change came and not when it was made: a call may have been
-                # carried out since.
+                # It is known when the change was received, but not when it was made: a call may
+                # have been carried out in between.
                 self.verify(slice_id)
             return generation
         if requested_ms is None or not differs:
@@ -111,10 +111,10 @@
         return reported
 
     def verify(self, slice_id: int) -> None:
-        """Compares a slice's table with a snapshot, until no call has come between.
+        """Compares a slice's table with snapshots, until none was overtaken by a call.
 
-        What was reported may be older than a call that was on its way, or was passed over for one
-        that never came. One snapshot is requested at a time.
+        The reported table may be older than a call that was in flight, or may have been left alone
+        because of a call that was never carried out. One snapshot is requested at a time.
         """
         self._unverified[slice_id] = None
         if not self._verifying:
--- a/havendyke/net/unresolved_call.py
+++ b/havendyke/net/unresolved_call.py
@@ -1,7 +1,7 @@
-"""Finds out whether a call without a readable reply was carried out.
+"""Finds out whether a call without a valid reply was carried out.
 
-The relay carries out a call completely or not at all. Retried blindly, its orders could overfill
-the push channel; dropped, a table would lack them for good.
+The relay carries out a call completely or not at all. Retrying it blindly could overfill the
+push channel; dropping it could leave tables without its orders for good.
 """
 
 from collections import deque
@@ -21,30 +21,31 @@
 )
 from .relay_watch import RelayWatch
 
-MAX_ACKNOWLEDGED_NONCES = 32  # the latest, for pushes whose call is judged later
+# The latest nonces, kept for pushes whose call is resolved after their acknowledgement.
+MAX_ACKNOWLEDGED_NONCES = 32
 
 
 class CallOwner(Protocol):
-    """Who made the call."""
+    """The client that made the call."""
 
     def call_resolved(self, orders: OrdersByKey, carried_out: bool) -> None:
-        """It is known, or taken for granted, what became of a call."""
+        """The outcome of a call is known or was assumed."""
 
     def retry_acknowledgement_request(self, order: AcknowledgementOrder) -> None:
-        """Nobody has acknowledged a push in time."""
+        """No proxy has acknowledged a push in time."""
 
     def send_next(self) -> None:
-        """Goes on with the orders that wait."""
+        """Sends the next queued orders."""
 
 
 class PendingCall:
-    """One call whose outcome is sought: its orders, and the one timer that it waits for.
+    """One call whose outcome is unknown: its orders and its current timer.
 
-    Once it is ended nothing that was begun for it has an effect: no timer, no late snapshot.
+    Once it has ended, its timer and snapshots that arrive late have no effect.
     """
 
     def __init__(self, event_loop: EventLoop, orders: OrdersByKey) -> None:
-        """`orders` may become empty: those made for an earlier table are dropped."""
+        """`orders` may become empty when orders for an earlier table are dropped."""
         self._event_loop = event_loop
         self.orders = orders
         self.ended = False
@@ -52,11 +53,11 @@
         self._deadline: Deadline | None = None
 
     def wait(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Calls back after the delay, unless the call is ended before."""
+        """Calls `callback` after the delay, unless the call ends before."""
         self._deadline = self._event_loop.after(delay_ms, callback)
 
     def end(self) -> None:
-        """Nothing more is to be found out."""
+        """The outcome no longer matters; cancels the timer."""
         self.ended = True
         self._event_loop.drop(self._deadline)
 
@@ -64,12 +65,12 @@
 class UnresolvedCall:
     """The call whose outcome is unknown, if there is one.
 
-    A snapshot tells where the call changes tables; otherwise only an acknowledgement of its push
-    would, and without one it is retried after a while.
+    For a call that changes tables, a snapshot shows the outcome. For any other, only an
+    acknowledgement of its push does; without one, the call is retried with backoff.
     """
 
     def __init__(self, event_loop: EventLoop, watch: RelayWatch, owner: CallOwner) -> None:
-        """`watch` brings the snapshots that show the outcome; `owner` is notified of it."""
+        """`watch` provides snapshots; `owner` is notified of the outcome."""
         self._event_loop = event_loop
         self._watch = watch
         self._owner = owner
@@ -81,28 +82,28 @@
 
     @property
     def orders(self) -> OrdersByKey:
-        """The orders of the call whose outcome matters; empty where there is none."""
+        """The orders of the unresolved call; empty where there is none."""
         return self._pending.orders if self._pending else {}
 
     @property
     def is_pending(self) -> bool:
-        """Whether there is a call whose outcome is still sought."""
+        """Whether there is an unresolved call, possibly without orders."""
         return self._pending is not None
 
     def begin(self, orders: OrdersByKey, reply_due_ms: float) -> None:
-        """The outcome of a call with these orders is unknown.
+        """Starts to resolve a call with these orders.
 
-        `reply_due_ms`: until then it may still be carried out.
+        `reply_due_ms`: until then the call may still be carried out.
         """
         if self._pending:
-            # All its orders were dropped, so that another call could be made.
+            # All of its orders were dropped, otherwise no further call would have been sent.
             self._pending.end()
         call = self._pending = PendingCall(self._event_loop, orders)
         wait_ms = max(0.0, reply_due_ms - self._event_loop.now())
         call.wait(wait_ms, lambda: self._investigate(call))
 
     def discard_slice(self, slice_id: int) -> None:
-        """Drops the orders that change this slice's table: they are not to be retried."""
+        """Drops the orders that change this slice's table, so that they are not retried."""
         for key in keys_for_slice(self.orders, slice_id):
             del self.orders[key]
 
@@ -111,11 +112,11 @@
         self._newest_nonce = nonce
 
     def call_answered(self) -> None:
-        """The relay has answered a call: the next retry waits no longer than the first."""
+        """The relay has replied to a call: resets the backoff of retries."""
         self._retry_backoff.reset()
 
     def acknowledged(self, nonce: int) -> None:
-        """A proxy has acknowledged a push: the call that brought it was carried out."""
+        """A proxy has acknowledged a push: the call with this nonce was carried out."""
         if nonce not in self._acknowledged_nonces:
             self._acknowledged_nonces.append(nonce)
         request = self.orders.get(ACKNOWLEDGEMENT_KEY)
@@ -125,21 +126,21 @@
             self._owner.send_next()
 
     def retry_with_newer_orders(self) -> None:
-        """Newer orders are about to leave: what only waits for its retry goes along with them."""
+        """Newer orders are about to be sent: a call that waits for its retry joins them."""
         if self._pending and self._pending.waits_for_retry:
             self._resolve(carried_out=False)
 
     def _investigate(self, call: PendingCall) -> None:
         if self._expected_changes():
-            self._watch.request_snapshot(lambda tables: self._judge(call, tables))
+            self._watch.request_snapshot(lambda tables: self._determine_outcome(call, tables))
         else:
-            # Retried in quick succession and carried out each time, its messages would fill the
-            # push channel.
+            # Without backoff, a call that is carried out each time would fill the push channel with
+            # its messages.
             call.waits_for_retry = True
-            call.wait(self._retry_backoff.next(), lambda: self._judge(call, {}))
+            call.wait(self._retry_backoff.next(), lambda: self._determine_outcome(call, {}))
 
     def _expected_changes(self) -> dict[int, Table]:
-        """The tables that the call changes, as they are if it was carried out."""
+        """The tables that the call changes, as they would be after it."""
         known = self._watch.slices.tables
         slices = changed_slices(self.orders)
         expected: Tables = {s: dict(known[s]) for s in slices if s in known}
@@ -147,7 +148,7 @@
             apply_order(expected, order)
         return {s: table for s, table in expected.items() if not tables_match(table, known[s])}
 
-    def _judge(self, call: PendingCall, tables: Tables) -> None:
+    def _determine_outcome(self, call: PendingCall, tables: Tables) -> None:
         if call.ended:
             return
         matches = [
@@ -160,8 +161,8 @@
         request = call.orders.get(ACKNOWLEDGEMENT_KEY)
         self._resolve(carried_out)
         if carried_out and isinstance(request, AcknowledgementOrder):
-            # Tables that were the same before would match as well: only an acknowledgement proves
-            # that the push has left.
+            # Tables that already had these entries would match as well: only an acknowledgement
+            # proves that the push was sent.
             wait_ms = 2 * self._event_loop.limits.mark_answer
             self._event_loop.after(wait_ms, lambda: self._expect_acknowledgement(request))
         self._owner.send_next()
--- a/havendyke/net/wire_relay.py
+++ b/havendyke/net/wire_relay.py
@@ -1,4 +1,4 @@
-"""The relay's JSON-RPC messages, mapped to watch events, call results and orders."""
+"""The relay's JSON-RPC messages: decodes notifications and call results, encodes orders."""
 
 from collections.abc import Sequence
 from enum import StrEnum
@@ -18,10 +18,10 @@
     WeightOrder,
 )
 
-NONCE_LIMIT = 65_536  # nonces run from 0 to below this, then start over
+NONCE_LIMIT = 65_536  # nonces wrap around to 0 at this value
 DEFAULT_PROXY_LIMIT = 65_536  # proxy ids, where the settings state no number of proxies
 DEFAULT_REQUEST_RATE = 1.0  # requests a second
-# What the text of a relay's error contains: it cannot read the call, or is busy.
+# Codes in the message of a relay's error: the call cannot be parsed, or the relay is busy.
 UNREADABLE = "SYNTAX"
 BUSY = "BUSY"
 MAX_QUOTED_MESSAGE_CHARS = 100
@@ -52,13 +52,13 @@
 
 
 NOTIFICATION_TYPES = {str(kind): kind for kind in NotificationType}
-ABOUT_SLICES = (NotificationType.SLICE_ASSIGNMENT, NotificationType.TABLE_ENTRY)
+SLICE_NOTIFICATIONS = (NotificationType.SLICE_ASSIGNMENT, NotificationType.TABLE_ENTRY)
 
 
 class Notification(NamedTuple):
-    """A notification about a proxy or slice; its further fields are not read yet."""
+    """A notification about a proxy or slice; its other parameters are not decoded yet."""
 
-    subject_id: int | None  # None: the settings leave no room for it
+    subject_id: int | None  # None: outside the range that the settings allow
     params: dict[str, Any]
 
 
@@ -85,7 +85,7 @@
 
 
 class CallApplied(NamedTuple):
-    """The relay carried out the first orders of a call, and stopped at one that it cannot use."""
+    """The relay carried out the first `order_count` orders of a call, and no more."""
 
     order_count: int
 
@@ -94,11 +94,11 @@
     """The relay carried out no order of a call."""
 
     message: str
-    unreadable: bool  # it cannot be read; otherwise the relay was busy
+    unreadable: bool  # the call cannot be parsed; otherwise the relay was busy
 
 
 def encode_call(request_id: int, method: Method, orders: Sequence[RelayOrder] = ()) -> bytes:
-    """A call as the relay reads it."""
+    """A call as a JSON line."""
     message: dict[str, Any] = {"jsonrpc": "2.0", "id": request_id, "method": method.value}
     if orders:
         message["params"] = {"orders": [encode_order(order) for order in orders]}
@@ -106,12 +106,12 @@
 
 
 def encoded_size(order: RelayOrder) -> int:
-    """The bytes that an order takes in a call, with the comma behind it."""
+    """The size of an order in a call in bytes, with the comma after it."""
     return len(orjson.dumps(encode_order(order))) + 1
 
 
 def encode_order(order: RelayOrder) -> dict[str, Any]:
-    """An order in the relay's words."""
+    """An order as the relay's protocol has it."""
     match order:
         case WeightOrder():
             return {
@@ -136,19 +136,19 @@
 
 
 def is_reply_to(message: dict[str, Any], request_id: int) -> bool:
-    """Whether a message answers the call with this id."""
+    """Whether a message is the reply to the call with this id."""
     return message.get("id") == request_id
 
 
 def decode_call_reply(message: dict[str, Any], order_count: int) -> CallApplied | CallRejected:
-    """The result of a call of so many orders.
+    """The result of a call with `order_count` orders.
 
-    Raises `FieldError` for all that is not plainly a result or an error of the relay's own: such a
-    reply says nothing of what became of the call. A null is the older form of a missing field.
+    Raises `FieldError` for anything that is neither a valid result nor a known error: the outcome
+    of the call is then unknown. A null field counts as missing, as in older versions of JSON-RPC.
     """
     failed = message.get("error") is not None
     if failed and message.get("result") is not None:
-        raise FieldError("an answer has an error and a result")
+        raise FieldError("the reply has both an error and a result")
     if not failed:
         taken: int = read_field(read_field(message, "result", dict), "taken", int)
         if not 0 <= taken <= order_count:
@@ -161,13 +161,13 @@
 
 
 class RelayCodec:
-    """Decodes notifications and maps the controller's orders; knows which ids the settings allow.
+    """Decodes notifications and converts the controller's orders, within the settings' id ranges.
 
-    Every decoder raises `FieldError` where a field is wrong.
+    Every decoder raises `FieldError` for an invalid field.
     """
 
     def __init__(self, config: Config) -> None:
-        """Takes names and the numbers of slices and proxies from the settings."""
+        """Reads names and the numbers of slices and proxies from the configuration."""
         self._limits = config.limits
         self._request_classes = config.wire_names.request_classes
         self._zones = {name: k for k, name in enumerate(config.wire_names.zones)}
@@ -176,7 +176,7 @@
 
     @staticmethod
     def notification_type(message: dict[str, Any]) -> NotificationType | None:
-        """The type of a notification, or None for the reply that grants the watch."""
+        """The type of a notification, or None for the reply that accepts the watch."""
         method = message.get("method")
         if method is None:
             if message.get("result") is not True:
@@ -187,15 +187,15 @@
         return NOTIFICATION_TYPES[method]
 
     def notification(self, kind: NotificationType, message: dict[str, Any]) -> Notification:
-        """A notification of any type but a ping."""
+        """Decodes the subject of a notification of any type but a ping."""
         params: dict[str, Any] = read_field(message, "params", dict)
-        about_slice = kind in ABOUT_SLICES
+        about_slice = kind in SLICE_NOTIFICATIONS
         subject_id: int = read_field(params, "partition" if about_slice else "sidecar", int)
         limit = self._slice_limit if about_slice else self._proxy_limit
         return Notification(subject_id if 0 <= subject_id < limit else None, params)
 
     def subscription(self, params: dict[str, Any]) -> Subscription:
-        """What a proxy states when it connects; an unknown zone counts as the first."""
+        """What a proxy states when it connects; an unknown zone is treated as the first."""
         zone_name: str = read_field(params, "az", str)
         request_rate = self._weight(params, DEFAULT_REQUEST_RATE)
         return Subscription(
@@ -213,7 +213,7 @@
 
     @staticmethod
     def assigned(params: dict[str, Any]) -> bool:
-        """Whether a slice is assigned, or was and is no longer."""
+        """Whether a slice is assigned; False where it is no longer."""
         return read_flag(params, "yes")
 
     def table_entry(self, params: dict[str, Any]) -> TableEntry:
@@ -226,7 +226,7 @@
         return weight
 
     def relay_order(self, order: core.Order) -> RelayOrder | None:
-        """The controller's order by ids, or None where it is not for the relay."""
+        """The controller's order with ids, or None where it is not for the relay."""
         match order:
             case core.SetEndpointWeight():
                 return WeightOrder(order.slice.id, order.server.id, order.weight)
