--- a/tests/net/test_backoff.py
+++ b/tests/net/test_backoff.py
@@ -1,11 +1,11 @@
-"""Waits that double up to a limit."""
+"""Backoff delays that double up to a maximum."""
 
 from havendyke.config import Limits
 from havendyke.net.backoff import Backoff
 
 
-def test_waits_double_up_to_their_most():
-    again = Backoff(50.0, Limits.again_most)
-    assert [again.next() for _ in range(5)] == [50.0, 100.0, 200.0, 400.0, 500.0]
-    again.reset()
-    assert again.next() == 50.0
+def test_delays_double_up_to_the_maximum():
+    backoff = Backoff(50.0, Limits.again_most)
+    assert [backoff.next() for _ in range(5)] == [50.0, 100.0, 200.0, 400.0, 500.0]
+    backoff.reset()
+    assert backoff.next() == 50.0
--- a/tests/net/test_fleet_summary.py
+++ b/tests/net/test_fleet_summary.py
@@ -1,4 +1,4 @@
-"""What the log says of the fleet as the controller sees it."""
+"""The logged summary of the fleet's state."""
 
 from controller_harness import ControllerHarness
 
@@ -6,10 +6,10 @@
 from havendyke.net.fleet_summary import FleetSummary
 
 
-def test_the_log_counts_slices_by_their_primarys_health_and_migrations_by_their_sources():
-    scene, fields, hub = ControllerHarness(), {}, LabHub()
-    hub.log = lambda event, **values: fields.update(values)
-    summary = FleetSummary(hub, scene.controller)
+def test_the_summary_counts_slices_by_primary_health_and_migrations_by_source_health():
+    scene, fields, event_loop = ControllerHarness(), {}, LabHub()
+    event_loop.log = lambda event, **values: fields.update(values)
+    summary = FleetSummary(event_loop, scene.controller)
     (healthy,) = scene.add_servers(1)
     (warming_up,) = scene.add_servers(1, started_ms=scene.now_ms - 2000.0)
     _, migrating = scene.add_slices([healthy, warming_up])
--- a/tests/net/test_order_queue.py
+++ b/tests/net/test_order_queue.py
@@ -1,4 +1,4 @@
-"""What a newer order does to those that wait."""
+"""How a newer order replaces queued ones, and how batches are taken from the queue."""
 
 from havendyke.interface import RetryPolicy
 from havendyke.net.order_queue import OrderQueue
@@ -22,13 +22,13 @@
     return AdmissionOrder(request_classes, 0.5, RetryPolicy.NEVER)
 
 
-def test_a_newer_order_replaces_the_one_with_its_key_and_goes_last():
+def test_a_newer_order_replaces_the_one_with_its_key_and_is_sent_last():
     queue = queue_of(WeightOrder(1, "s1", 1.0), WeightOrder(1, "s2", 1.0))
     queue.put(WeightOrder(1, "s1", 0.5))
     assert queue.orders == [WeightOrder(1, "s2", 1.0), WeightOrder(1, "s1", 0.5)]
 
 
-def test_clearing_a_table_replaces_its_weights_and_no_others():
+def test_clearing_a_table_replaces_its_weight_orders_only():
     others = [WeightOrder(2, "s1", 1.0), EjectionOrder("s1", ejected=True)]
     queue = queue_of(WeightOrder(1, "s1", 1.0), *others, ClearOrder(1))
     assert queue.orders == [*others, ClearOrder(1)]
@@ -39,13 +39,13 @@
     assert queue.orders == [admission("c"), admission("a", "b"), admission("a")]
 
 
-def test_a_request_to_all_proxies_stays_one_when_a_newer_one_replaces_it():
+def test_a_request_to_all_proxies_keeps_its_scope_when_a_newer_one_replaces_it():
     queue = queue_of(AcknowledgementOrder(1, all_proxies=True))
     queue.put(AcknowledgementOrder(2, all_proxies=False))
     assert queue.orders == [AcknowledgementOrder(2, all_proxies=True)]
 
 
-def test_orders_that_are_put_back_stay_older_than_those_that_came_since():
+def test_orders_that_are_put_back_precede_those_added_since():
     queue = queue_of(WeightOrder(1, "s1", 1.0), WeightOrder(1, "s2", 1.0))
     taken = queue.take_batch(1000, 2, lambda order: 1)
     queue.put(WeightOrder(1, "s1", 0.5))
@@ -53,7 +53,7 @@
     assert queue.orders == [WeightOrder(1, "s2", 1.0), WeightOrder(1, "s1", 0.5)]
 
 
-def test_a_batch_holds_one_order_at_least_and_no_more_than_the_limits_allow():
+def test_a_batch_has_at_least_one_order_and_no_more_than_the_limits_allow():
     orders = [WeightOrder(1, f"s{k}", 1.0) for k in range(5)]
     queue = queue_of(*orders)
     assert list(queue.take_batch(5, None, lambda order: 10).values()) == orders[:1]
--- a/tests/net/test_published_tables.py
+++ b/tests/net/test_published_tables.py
@@ -1,4 +1,4 @@
-"""Tables beside the relay's snapshots of them, which round weights."""
+"""Published tables compared with the relay's snapshots, which round weights."""
 
 import pytest
 
@@ -17,18 +17,18 @@
         ({}, {}, True),
     ],
 )
-def test_tables_match_as_far_as_a_snapshot_shows(snapshot, known, match):
+def test_tables_match_within_a_snapshots_precision(snapshot, known, match):
     assert tables_match(snapshot, known) == match
 
 
-def test_known_weights_are_finer_than_a_snapshot_and_no_entry_has_the_weight_0():
+def test_known_weights_replace_rounded_ones_and_no_entry_gets_weight_0():
     snapshot = {"s1": 0.333, "s2": 0.5, "s3": 0.0}
     restored = restore_precision(snapshot, {"s1": 1 / 3, "s2": 0.25})
     assert restored["s1"] == 1 / 3 and restored["s2"] == 0.5
     assert 0.0 < restored["s3"] < 1e-6
 
 
-def test_orders_change_the_tables_that_are_known_and_no_others():
+def test_orders_change_known_tables_only():
     tables = {1: {"s1": 1.0}, 2: {"s1": 1.0}}
     for order in (
         WeightOrder(1, "s2", 0.5),
--- a/tests/net/test_relay_client.py
+++ b/tests/net/test_relay_client.py
@@ -1,4 +1,4 @@
-"""Calls of orders to the relay; the test moves transports and time."""
+"""Calls to the relay: their replies, unknown outcomes and retries, with simulated I/O and time."""
 
 import pytest
 from helpers import (
@@ -27,29 +27,33 @@
 )
 
 
-def start_call(hub, assigner, *orders):
+def start_call(event_loop, assigner, *orders):
     assigner.relay.enqueue(list(orders))
-    return hub.open("relay")
+    return event_loop.open("relay")
 
 
-@pytest.mark.parametrize("taken, left, refused", [(2, [], 0), (0, ["s2"], 1), (1, [], 1)])
-def test_only_the_order_that_the_relay_cannot_use_is_left_out(taken, left, refused):
-    assigner, hub = make_assigner()
+@pytest.mark.parametrize("taken, left, rejected", [(2, [], 0), (0, ["s2"], 1), (1, [], 1)])
+def test_only_the_order_that_the_relay_rejects_is_discarded(taken, left, rejected):
+    assigner, event_loop = make_assigner()
     call = start_call(
-        hub, suspend_reconciliation(assigner), weight_order(1, "s1"), weight_order(1, "s2")
+        event_loop, suspend_reconciliation(assigner), weight_order(1, "s1"), weight_order(1, "s2")
     )
     feed(call, [{"id": sent_orders(call)[1], "result": {"taken": taken}}])
     assert [o["host"] for o in sent_orders(call)[0][-1]] == (left or ["s1", "s2"])
     assert len(sent_orders(call)[0]) == 1 + bool(left)
-    assert hub.counters.get("relay_partial", 0) == refused
+    assert event_loop.counters.get("relay_partial", 0) == rejected
 
 
-def test_a_weight_that_the_relay_cannot_use_is_not_taken_for_published():
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
+def test_a_weight_that_the_relay_rejects_does_not_count_as_published():
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop, SLICE_ASSIGNED, TABLE_ENTRY)
     take_pending_events(assigner)
     call = start_call(
-        hub, assigner, weight_order(4, "s2"), weight_order(4, "s1", 0.0), weight_order(5, "s1")
+        event_loop,
+        assigner,
+        weight_order(4, "s2"),
+        weight_order(4, "s1", 0.0),
+        weight_order(5, "s1"),
     )
     feed(call, [{"id": sent_orders(call)[1], "result": {"taken": 0}}])
     assert [(type(e).__name__, e.slice.id) for e in take_pending_events(assigner)] == [
@@ -59,49 +63,49 @@
     assert [o["table"] for o in sent_orders(call)[0][-1]] == [5]
 
 
-def test_rejected_calls_wait_and_the_controller_is_notified_once():
-    assigner, hub = make_assigner(again_most=50.0)
-    call = start_call(hub, suspend_reconciliation(assigner), weight_order(1, "s1"))
+def test_rejected_calls_are_retried_and_the_controller_is_notified_once():
+    assigner, event_loop = make_assigner(again_most=50.0)
+    call = start_call(event_loop, suspend_reconciliation(assigner), weight_order(1, "s1"))
     for _ in range(3):
         feed(call, [{"id": sent_orders(call)[1], "error": {"code": -1, "message": "BUSY"}}])
-        hub.pass_time(60)
+        event_loop.pass_time(60)
     assert [len(o) for o in sent_orders(call)[0]] == [1] * 4
     assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(False)]
     feed(call, [{"id": sent_orders(call)[1], "result": {"taken": 1}}])
-    hub.pass_time(60)
+    event_loop.pass_time(60)
     assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(True)]
 
 
-def test_after_a_start_the_channel_opens_once_connecting_proxies_are_counted():
-    assigner, hub = make_assigner()
+def test_after_a_start_the_channel_is_available_once_no_more_proxies_connect():
+    assigner, event_loop = make_assigner()
     suspend_reconciliation(assigner).relay.start()
-    feed(hub.open("relay_watch"), [SUCCESS_REPLY, SLICE_ASSIGNED, TABLE_ENTRY])
-    hub.pass_time(1000)
+    feed(event_loop.open("relay_watch"), [SUCCESS_REPLY, SLICE_ASSIGNED, TABLE_ENTRY])
+    event_loop.pass_time(1000)
     assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(False)]
     for proxy in range(1, 6):
         feed(
-            hub.open("relay_watch"),
+            event_loop.open("relay_watch"),
             [{"method": "SUBSCRIBE", "params": PROXY_CONNECTED["params"] | {"sidecar": proxy}}],
         )
         assert take_pending_events(assigner, core.PushChannelStatus) == []
-        hub.pass_time(40)
-    hub.pass_time(200)
+        event_loop.pass_time(40)
+    event_loop.pass_time(200)
     assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(True)]
 
 
-@pytest.mark.parametrize("why", ["BUSY", "refused"])
-def test_orders_from_before_an_interruption_are_planned_anew(why):
-    # Published once more proxies have connected, they would overfill the channel.
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
+@pytest.mark.parametrize("reason", ["BUSY", "refused"])
+def test_orders_from_before_an_interruption_are_planned_again(reason):
+    # Sent after more proxies have connected, they would overfill the channel.
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop, SLICE_ASSIGNED, TABLE_ENTRY)
     take_pending_events(assigner)
-    mark = AcknowledgementOrder(1, all_proxies=False)
-    assigner.relay.enqueue([weight_order(4, "s2"), weight_order(4, "s1", 0.0), mark])
-    if why == "BUSY":
-        call = hub.open("relay")
-        feed(call, [{"id": sent_orders(call)[1], "error": {"message": why}}])
+    request = AcknowledgementOrder(1, all_proxies=False)
+    assigner.relay.enqueue([weight_order(4, "s2"), weight_order(4, "s1", 0.0), request])
+    if reason == "BUSY":
+        call = event_loop.open("relay")
+        feed(call, [{"id": sent_orders(call)[1], "error": {"message": reason}}])
     else:
-        hub.open("relay", up=False).close(why)
+        event_loop.open("relay", up=False).close(reason)
     events = take_pending_events(assigner)
     assert [type(e).__name__ for e in events] == [
         "PushChannelStatus",
@@ -111,89 +115,95 @@
     ] and events[3].unsent_nonces == (1,)
     assert assigner.relay.queue.orders == [AcknowledgementOrder(1, all_proxies=False)]
     assert assigner.relay.watch.slices.tables[4] == {"s1": 1.0}
-    hub.pass_time(60)
-    again = hub.open("relay")
-    feed(again, [{"id": sent_orders(again)[1], "result": {"taken": 1}}])
+    event_loop.pass_time(60)
+    retry = event_loop.open("relay")
+    feed(retry, [{"id": sent_orders(retry)[1], "result": {"taken": 1}}])
     assert take_pending_events(assigner, core.PushChannelStatus) == []
-    hub.pass_time(60)
+    event_loop.pass_time(60)
     assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(True)]
 
 
-def test_an_unreadable_order_is_found_by_halving_and_left_out():
-    assigner, hub = make_assigner(again_most=50.0)
+def test_an_unreadable_order_is_isolated_by_halving_and_discarded():
+    assigner, event_loop = make_assigner(again_most=50.0)
     call = start_call(
-        hub, suspend_reconciliation(assigner), *[weight_order(k, "s1") for k in range(4)]
+        event_loop, suspend_reconciliation(assigner), *[weight_order(k, "s1") for k in range(4)]
     )
-    taken = []
+    applied = []
     while assigner.relay.call:
-        orders, number = sent_orders(call)
-        bad = any(o["table"] == 2 for o in orders[-1])
-        taken += [] if bad else [o["table"] for o in orders[-1]]
+        orders, request_id = sent_orders(call)
+        unreadable = any(o["table"] == 2 for o in orders[-1])
+        applied += [] if unreadable else [o["table"] for o in orders[-1]]
         feed(
             call,
             [
-                {"id": number, "error": {"message": "SYNTAX"}}
-                if bad
-                else {"id": number, "result": {"taken": len(orders[-1])}}
+                {"id": request_id, "error": {"message": "SYNTAX"}}
+                if unreadable
+                else {"id": request_id, "result": {"taken": len(orders[-1])}}
             ],
         )
-        hub.pass_time(60)
-    assert sorted(taken) == [0, 1, 3]
+        event_loop.pass_time(60)
+    assert sorted(applied) == [0, 1, 3]
 
 
-def test_a_single_weight_that_the_relay_cannot_read_is_not_taken_for_published():
-    # The controller believed in an entry that no proxy had, for good.
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
+def test_a_single_unreadable_weight_does_not_count_as_published():
+    # The controller kept an entry for good that no proxy had.
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop, SLICE_ASSIGNED, TABLE_ENTRY)
     take_pending_events(assigner)
-    call = start_call(hub, assigner, weight_order(4, "s2"))
+    call = start_call(event_loop, assigner, weight_order(4, "s2"))
     feed(call, [{"id": sent_orders(call)[1], "error": {"message": "SYNTAX"}}])
     reported = take_pending_events(assigner, core.SliceAssignment, core.SnapshotEntry)
     assert [(type(e).__name__, e.slice.id) for e in reported] == [
         ("SliceAssignment", 4),
         ("SnapshotEntry", 4),
     ]
-    assert "order_rejected" in dict(hub.logged)
+    assert "order_rejected" in dict(event_loop.logged)
 
 
 ENDINGS = {
-    "broken": lambda c, hub: c.close("reset"),
-    "silent": lambda c, hub: hub.pass_time(110),
-    "unreadable": lambda c, hub: feed(c, b"{{{\n"),
-    "idle": lambda c, hub: c.eof_received(),
+    "broken": lambda c, event_loop: c.close("reset"),
+    "silent": lambda c, event_loop: event_loop.pass_time(110),
+    "unreadable": lambda c, event_loop: feed(c, b"{{{\n"),
+    "idle": lambda c, event_loop: c.eof_received(),
 }
 
 
 @pytest.mark.parametrize("ending", ENDINGS)
-@pytest.mark.parametrize("carried", [True, False])
-def test_a_snapshot_resolves_a_call_with_unknown_outcome(ending, carried):
-    # Repeated blindly, the orders could overfill the channel; dropped, they would be lost for good.
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
+@pytest.mark.parametrize("carried_out", [True, False])
+def test_a_snapshot_resolves_a_call_with_unknown_outcome(ending, carried_out):
+    # Retried blindly, the orders could overfill the channel; dropped, they would be lost for good.
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop, SLICE_ASSIGNED, TABLE_ENTRY)
     call = start_call(
-        hub,
+        event_loop,
         assigner,
         weight_order(4, "s2"),
         weight_order(4, "s1", 0.0),
         AcknowledgementOrder(1, all_proxies=False),
     )
-    ENDINGS[ending](call, hub)
+    ENDINGS[ending](call, event_loop)
     assigner.relay.enqueue([weight_order(4, "s3")])
-    hub.pass_time(110)
-    row = {
+    event_loop.pass_time(110)
+    entry = {
         "method": "ROW",
-        "params": {"partition": 4, "host": "s2" if carried else "s1", "share": 1.0},
+        "params": {"partition": 4, "host": "s2" if carried_out else "s1", "share": 1.0},
     }
-    snapshot = snapshot_stream(hub)
-    feed(snapshot, [SUCCESS_REPLY, SLICE_ASSIGNED, row])
-    hub.pass_time(100)
-    again = hub.open("relay")
-    assert [o.get("host") for o in sent_orders(again)[0][-1]] == (
-        ["s3"] if carried else ["s2", "s1", None, "s3"]
+    snapshot = snapshot_stream(event_loop)
+    feed(snapshot, [SUCCESS_REPLY, SLICE_ASSIGNED, entry])
+    event_loop.pass_time(100)
+    next_call = event_loop.open("relay")
+    assert [o.get("host") for o in sent_orders(next_call)[0][-1]] == (
+        ["s3"] if carried_out else ["s2", "s1", None, "s3"]
     )
     assert snapshot.over and not assigner.relay.unresolved.is_pending
     feed(
-        again, [{"id": sent_orders(again)[1], "result": {"taken": len(sent_orders(again)[0][-1])}}]
+        next_call,
+        [
+            {
+                "id": sent_orders(next_call)[1],
+                "result": {"taken": len(sent_orders(next_call)[0][-1])},
+            }
+        ],
     )
     assert [e.connected for e in take_pending_events(assigner, core.PushChannelStatus)] == [
         False,
@@ -202,35 +212,35 @@
 
 
 def test_an_acknowledgement_proves_that_its_call_was_carried_out():
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub, PROXY_CONNECTED)
-    mark = AcknowledgementOrder(7, all_proxies=True)
-    start_call(hub, assigner, EjectionOrder("s1", ejected=True), mark).close("reset")
-    hub.pass_time(200)
-    feed(hub.open("relay_watch"), [PUSH_ACKNOWLEDGED])
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop, PROXY_CONNECTED)
+    request = AcknowledgementOrder(7, all_proxies=True)
+    start_call(event_loop, assigner, EjectionOrder("s1", ejected=True), request).close("reset")
+    event_loop.pass_time(200)
+    feed(event_loop.open("relay_watch"), [PUSH_ACKNOWLEDGED])
     relay = assigner.relay
     assert not relay.unresolved.is_pending and relay.queue.orders == []
     assert relay.channel.is_available
 
 
-def test_newer_orders_take_along_those_that_wait_to_be_repeated():
-    assigner, hub = make_assigner()
-    out = EjectionOrder("s1", ejected=True)
-    start_call(hub, suspend_reconciliation(assigner), out).close("reset")
-    hub.pass_time(110)
+def test_orders_that_wait_for_a_retry_are_sent_with_newer_orders():
+    assigner, event_loop = make_assigner()
+    ejection = EjectionOrder("s1", ejected=True)
+    start_call(event_loop, suspend_reconciliation(assigner), ejection).close("reset")
+    event_loop.pass_time(110)
     assigner.relay.enqueue([weight_order(1, "s2")])
-    assert [o["op"] for o in sent_orders(hub.open("relay"))[0][0]] == ["OUT", "SET"]
+    assert [o["op"] for o in sent_orders(event_loop.open("relay"))[0][0]] == ["OUT", "SET"]
     assert take_pending_events(assigner, core.PushChannelStatus) == []
 
 
-def test_the_channel_opens_once_no_order_waits():
-    # With no order left no call would ever show that the relay is back.
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
-    start_call(hub, assigner, weight_order(4, "s2")).close("reset")
-    hub.pass_time(110)
+def test_the_channel_is_available_again_once_no_order_waits():
+    # With no order left, no call would ever show that the relay is available.
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop, SLICE_ASSIGNED, TABLE_ENTRY)
+    start_call(event_loop, assigner, weight_order(4, "s2")).close("reset")
+    event_loop.pass_time(110)
     feed(
-        snapshot_stream(hub),
+        snapshot_stream(event_loop),
         [
             SUCCESS_REPLY,
             SLICE_ASSIGNED,
@@ -238,7 +248,7 @@
             {"method": "ROW", "params": {"partition": 4, "host": "s2", "share": 1}},
         ],
     )
-    hub.pass_time(100)
+    event_loop.pass_time(100)
     assert [e.connected for e in take_pending_events(assigner, core.PushChannelStatus)] == [
         False,
         True,
@@ -246,37 +256,40 @@
 
 
 @pytest.mark.parametrize(
-    "shown, carried", [([("s1", 0.0), ("s2", 0.0)], True), ([("s1", 0.02)], False)]
+    "shown, carried_out", [([("s1", 0.0), ("s2", 0.0)], True), ([("s1", 0.02)], False)]
 )
-def test_a_snapshot_resolves_calls_about_rounded_weights(shown, carried):
-    assigner, hub = make_assigner()
+def test_a_snapshot_resolves_calls_about_rounded_weights(shown, carried_out):
+    assigner, event_loop = make_assigner()
     open_watch_stream(
-        suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, table_entry("s1", 0.02)
+        suspend_reconciliation(assigner), event_loop, SLICE_ASSIGNED, table_entry("s1", 0.02)
     )
-    start_call(hub, assigner, weight_order(4, "s1", 0.0004), weight_order(4, "s2", 8e-6)).close(
-        "reset"
+    start_call(
+        event_loop, assigner, weight_order(4, "s1", 0.0004), weight_order(4, "s2", 8e-6)
+    ).close("reset")
+    event_loop.pass_time(110)
+    feed(
+        snapshot_stream(event_loop),
+        [SUCCESS_REPLY, SLICE_ASSIGNED] + [table_entry(*r) for r in shown],
     )
-    hub.pass_time(110)
-    feed(snapshot_stream(hub), [SUCCESS_REPLY, SLICE_ASSIGNED] + [table_entry(*r) for r in shown])
-    hub.pass_time(100)
-    assert hub.counters.get("relay_found_carried_out", 0) == carried
+    event_loop.pass_time(100)
+    assert event_loop.counters.get("relay_found_carried_out", 0) == carried_out
     take_pending_events(assigner)
-    open_watch_stream(assigner, hub, SLICE_ASSIGNED, *[table_entry(*r) for r in shown])
+    open_watch_stream(assigner, event_loop, SLICE_ASSIGNED, *[table_entry(*r) for r in shown])
     assert take_pending_events(
         assigner, core.SnapshotEntry
-    ) == [] and assigner.relay.watch.slices.tables[4]["s1"] == (0.0004 if carried else 0.02)
+    ) == [] and assigner.relay.watch.slices.tables[4]["s1"] == (0.0004 if carried_out else 0.02)
 
 
-def test_a_call_with_unknown_outcome_that_changes_no_table_is_repeated():
-    assigner, hub = make_assigner()
-    out = EjectionOrder("s1", ejected=True)
-    start_call(hub, suspend_reconciliation(assigner), out).close("reset")
-    hub.pass_time(810)
-    assert sent_orders(hub.open("relay"))[0] == [[{"op": "OUT", "host": "s1"}]]
+def test_a_call_with_unknown_outcome_that_changes_no_table_is_retried():
+    assigner, event_loop = make_assigner()
+    ejection = EjectionOrder("s1", ejected=True)
+    start_call(event_loop, suspend_reconciliation(assigner), ejection).close("reset")
+    event_loop.pass_time(810)
+    assert sent_orders(event_loop.open("relay"))[0] == [[{"op": "OUT", "host": "s1"}]]
 
 
-def test_newer_orders_replace_older_ones_that_wait():
-    assigner, hub = make_assigner()
+def test_newer_orders_replace_older_queued_ones():
+    assigner, event_loop = make_assigner()
     relay = suspend_reconciliation(assigner).relay
     relay.enqueue(
         [
@@ -307,22 +320,22 @@
     assert weight_order(1, "s1").key not in keys and ClearOrder(1).key in keys
 
 
-def test_orders_beyond_the_limit_of_a_call_follow_in_order():
-    assigner, hub = make_assigner(call_bytes=100)
+def test_orders_beyond_the_size_limit_of_a_call_follow_in_order():
+    assigner, event_loop = make_assigner(call_bytes=100)
     call = start_call(
-        hub, suspend_reconciliation(assigner), *[weight_order(k, "s1") for k in range(8)]
+        event_loop, suspend_reconciliation(assigner), *[weight_order(k, "s1") for k in range(8)]
     )
     while assigner.relay.call:
-        orders, number = sent_orders(call)
-        feed(call, [{"id": number, "result": {"taken": len(orders[-1])}}])
+        orders, request_id = sent_orders(call)
+        feed(call, [{"id": request_id, "result": {"taken": len(orders[-1])}}])
     assert [o["table"] for orders in sent_orders(call)[0] for o in orders] == list(
         range(8)
     ) and len(sent_orders(call)[0]) > 2
 
 
-def test_idle_connections_are_closed_and_stale_replies_do_no_harm():
-    assigner, hub = make_assigner()
-    call = start_call(hub, suspend_reconciliation(assigner), weight_order(1, "s1"))
+def test_idle_connections_are_closed_and_stale_replies_are_ignored():
+    assigner, event_loop = make_assigner()
+    call = start_call(event_loop, suspend_reconciliation(assigner), weight_order(1, "s1"))
     feed(
         call,
         [
@@ -332,15 +345,18 @@
         ],
     )
     assert not call.over and assigner.relay.call is None
-    hub.pass_time(1600)
+    event_loop.pass_time(1600)
     assert call.over and assigner.relay.connection is None
 
 
 def test_orders_from_before_a_new_assignment_are_dropped():
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop, SLICE_ASSIGNED, TABLE_ENTRY)
     assigner.relay.enqueue([weight_order(4, "s2"), weight_order(3, "s2")])
-    feed(hub.open("relay_watch"), [{"method": "GRANT", "params": {"partition": 4, "yes": False}}])
+    feed(
+        event_loop.open("relay_watch"),
+        [{"method": "GRANT", "params": {"partition": 4, "yes": False}}],
+    )
     assert [order.key for order in assigner.relay.queue.orders] == [weight_order(3, "s2").key]
 
 
@@ -360,9 +376,9 @@
     ],
 )
 def test_after_an_invalid_reply_the_outcome_of_the_call_is_unknown(invalid):
-    # Taken for carried out, orders could be lost for good; taken for rejected, be repeated.
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
-    call = start_call(hub, assigner, weight_order(4, "s2"), weight_order(4, "s1", 0.0))
+    # Counted as carried out, the orders could be lost for good; as rejected, be sent twice.
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop, SLICE_ASSIGNED, TABLE_ENTRY)
+    call = start_call(event_loop, assigner, weight_order(4, "s2"), weight_order(4, "s1", 0.0))
     feed(call, [{"id": sent_orders(call)[1], **invalid}])
     assert call.over and assigner.relay.unresolved.orders and not assigner.relay.queue.orders
--- a/tests/net/test_relay_watch.py
+++ b/tests/net/test_relay_watch.py
@@ -1,4 +1,4 @@
-"""The relay's watch on one stream and on several; the test moves transports and time."""
+"""The relay's watch on one stream and on several, with simulated I/O and time."""
 
 import pytest
 from helpers import (
@@ -20,12 +20,12 @@
 from havendyke import interface as core
 
 
-def test_an_entry_whose_weight_is_shown_as_0_is_still_an_entry():
-    # Snapshots show thousandths: as 0 the entry would count as removed.
-    assigner, hub = make_assigner()
+def test_an_entry_whose_weight_is_shown_as_0_is_kept():
+    # Snapshots round to thousandths; with weight 0 the entry would count as removed.
+    assigner, event_loop = make_assigner()
     open_watch_stream(
         suspend_reconciliation(assigner),
-        hub,
+        event_loop,
         SLICE_ASSIGNED,
         table_entry("s1", 0.02),
         table_entry("s2", 0.0),
@@ -36,59 +36,62 @@
 
 @pytest.mark.parametrize("seconds", [3, 30])
 def test_the_number_of_connections_is_bounded_while_the_relay_is_silent(seconds):
-    assigner, hub = make_assigner(news_streams=2)
+    assigner, event_loop = make_assigner(news_streams=2)
     suspend_reconciliation(assigner).relay.watch.start()
     assigner.relay.enqueue([weight_order(1, "s1")])
     for _ in range(10 * seconds):
-        for c in hub.made:
-            if c.transport is None and not c.over:
-                hub.open(c.peer.name)
-        hub.pass_time(100)
-    assert len([c for c in hub.made if not c.over]) <= 4 and len(hub.made) < 5 + 2 * seconds
+        for connection in event_loop.made:
+            if connection.transport is None and not connection.over:
+                event_loop.open(connection.peer.name)
+        event_loop.pass_time(100)
+    assert (
+        len([c for c in event_loop.made if not c.over]) <= 4
+        and len(event_loop.made) < 5 + 2 * seconds
+    )
 
 
-def test_a_change_on_two_streams_is_reported_once():
-    assigner, hub = make_assigner()
+def test_a_change_received_on_two_streams_is_reported_once():
+    assigner, event_loop = make_assigner()
     open_watch_stream(
-        suspend_reconciliation(assigner), hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY
+        suspend_reconciliation(assigner), event_loop, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY
     )
-    open_watch_stream(assigner, hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY)
+    open_watch_stream(assigner, event_loop, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY)
     assert [type(e).__name__ for e in take_pending_events(assigner)][-3:] == [
         "ProxyConnected",
         "SliceAssignment",
         "SnapshotEntry",
     ]
-    one, two = [c for c in hub.made if not c.over]
-    feed(two, [PROXY_DISCONNECTED, PROXY_CONNECTED, PUSH_ACKNOWLEDGED])
-    feed(one, [PROXY_DISCONNECTED, PROXY_CONNECTED, PUSH_ACKNOWLEDGED, PROXY_DISCONNECTED])
-    feed(two, [PROXY_DISCONNECTED])
+    first, second = [c for c in event_loop.made if not c.over]
+    feed(second, [PROXY_DISCONNECTED, PROXY_CONNECTED, PUSH_ACKNOWLEDGED])
+    feed(first, [PROXY_DISCONNECTED, PROXY_CONNECTED, PUSH_ACKNOWLEDGED, PROXY_DISCONNECTED])
+    feed(second, [PROXY_DISCONNECTED])
     assert [type(e).__name__ for e in take_pending_events(assigner)] == [
         "ProxyDisconnected",
         "ProxyConnected",
         "PushAcknowledged",
         "ProxyDisconnected",
     ]
-    one.close("reset")
+    first.close("reset")
     assert take_pending_events(assigner) == []
-    feed(two, [PROXY_CONNECTED])
+    feed(second, [PROXY_CONNECTED])
     assert [type(e).__name__ for e in take_pending_events(assigner)] == ["ProxyConnected"]
 
 
 def test_after_a_gap_proxies_count_as_disconnected_and_the_present_state_is_reported():
-    assigner, hub = make_assigner()
+    assigner, event_loop = make_assigner()
     open_watch_stream(
         suspend_reconciliation(assigner),
-        hub,
+        event_loop,
         PROXY_CONNECTED,
         SLICE_ASSIGNED,
         TABLE_ENTRY,
         {"method": "GRANT", "params": {"partition": 5, "yes": True}},
     )
     take_pending_events(assigner)
-    hub.pass_time(2400)  # no ping
+    event_loop.pass_time(2400)  # no ping
     changed = {"method": "ROW", "params": {"partition": 4, "host": "s2", "share": 1.0}}
-    feed(hub.open("relay_watch"), [SUCCESS_REPLY, PROXY_CONNECTED, SLICE_ASSIGNED, changed])
-    hub.pass_time(100)
+    feed(event_loop.open("relay_watch"), [SUCCESS_REPLY, PROXY_CONNECTED, SLICE_ASSIGNED, changed])
+    event_loop.pass_time(100)
     events = take_pending_events(assigner)
     assert [type(e).__name__ for e in events] == [
         "ProxyDisconnected",
@@ -100,49 +103,49 @@
     assert (events[1].slice.id, events[1].assigned, events[4].server.id) == (5, False, "s2")
 
 
-@pytest.mark.parametrize("witness", [False, True])
-def test_acknowledgements_lost_while_all_streams_were_silent_reset_the_proxies(witness):
-    # Streams that fall silent together and come back one by one show no gap, and a channel that is
-    # believed full of unacknowledged pushes takes no orders.
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub, PROXY_CONNECTED)
-    open_watch_stream(assigner, hub, PROXY_CONNECTED)
-    one, two = [c for c in hub.made if c.peer.name == "relay_watch"]
-    for stream in (one, two):
+@pytest.mark.parametrize("covered", [False, True])
+def test_acknowledgements_lost_while_all_streams_were_silent_reset_the_proxies(covered):
+    # Streams that fall silent together and are replaced one by one leave no visible gap, but the
+    # lost acknowledgements would keep the push channel full, so that it takes no orders.
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop, PROXY_CONNECTED)
+    open_watch_stream(assigner, event_loop, PROXY_CONNECTED)
+    first, second = [c for c in event_loop.made if c.peer.name == "relay_watch"]
+    for stream in (first, second):
         feed(stream, [{"method": "ping"}])
     take_pending_events(assigner)
-    hub.pass_time(1500)
-    if witness:
-        feed(two, [{"method": "ping"}])
-    hub.pass_time(900)
-    if not witness:
-        feed(hub.open("relay_watch"), [SUCCESS_REPLY, PROXY_CONNECTED])
-    hub.pass_time(100)
-    assert one.over and two.over != witness
+    event_loop.pass_time(1500)
+    if covered:
+        feed(second, [{"method": "ping"}])
+    event_loop.pass_time(900)
+    if not covered:
+        feed(event_loop.open("relay_watch"), [SUCCESS_REPLY, PROXY_CONNECTED])
+    event_loop.pass_time(100)
+    assert first.over and second.over != covered
     assert [type(e).__name__ for e in take_pending_events(assigner)] == (
-        [] if witness else ["ProxyDisconnected", "ProxyConnected"]
+        [] if covered else ["ProxyDisconnected", "ProxyConnected"]
     )
 
 
 def test_an_unchanged_state_is_not_reported_again():
-    assigner, hub = make_assigner()
+    assigner, event_loop = make_assigner()
     open_watch_stream(
-        suspend_reconciliation(assigner), hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY
+        suspend_reconciliation(assigner), event_loop, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY
     )
     take_pending_events(assigner)
-    open_watch_stream(assigner, hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY)
+    open_watch_stream(assigner, event_loop, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY)
     assert take_pending_events(assigner) == []
 
 
-def test_a_late_table_entry_belongs_to_its_assignment():
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
+def test_a_late_table_entry_is_added_to_its_assignment():
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop, SLICE_ASSIGNED, TABLE_ENTRY)
     take_pending_events(assigner)
     feed(
-        hub.open("relay_watch"),
+        event_loop.open("relay_watch"),
         [{"method": "ROW", "params": {"partition": 4, "host": "s2", "share": 0.02}}, TABLE_ENTRY],
     )
-    hub.pass_time(100)
+    event_loop.pass_time(100)
     assert {e.server.id for e in take_pending_events(assigner, core.SnapshotEntry)} == {"s1", "s2"}
 
 
@@ -163,14 +166,14 @@
         {"sidecar": 2, "version": 7},
     ],
 )
-def test_an_invalid_acknowledgement_is_ignored_and_its_stream_goes_on(invalid):
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub, PROXY_CONNECTED)
+def test_an_invalid_acknowledgement_is_ignored_and_its_stream_stays_open(invalid):
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop, PROXY_CONNECTED)
     take_pending_events(assigner)
-    feed(hub.open("relay_watch"), [{"method": "ACK", "params": invalid}, PUSH_ACKNOWLEDGED])
+    feed(event_loop.open("relay_watch"), [{"method": "ACK", "params": invalid}, PUSH_ACKNOWLEDGED])
     assert [(e.proxy.id, e.nonce) for e in take_pending_events(assigner)] == [
         (1, 7)
-    ] and not hub.open("relay_watch").over
+    ] and not event_loop.open("relay_watch").over
 
 
 @pytest.mark.parametrize(
@@ -183,29 +186,30 @@
         ({"method": "ROW"}, "params"),
     ],
 )
-def test_an_invalid_notification_ends_its_stream_and_the_log_names_the_field(bad, field):
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub, PROXY_CONNECTED)
-    connection = hub.open("relay_watch")
+def test_an_invalid_notification_closes_its_stream_and_the_log_names_the_field(bad, field):
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop, PROXY_CONNECTED)
+    connection = event_loop.open("relay_watch")
     feed(connection, [bad])
-    assert connection.over and hub.counters["bad_messages"] == 1
+    assert connection.over and event_loop.counters["bad_messages"] == 1
     assert (
-        f"'{field}'" in [more["field"] for event, more in hub.logged if event == "bad_message"][0]
+        f"'{field}'"
+        in [fields["field"] for event, fields in event_loop.logged if event == "bad_message"][0]
     )
 
 
 def test_streams_that_fail_before_they_are_synchronised_are_replaced_with_backoff():
-    # Each replaced at once, they would keep a core and the relay busy.
-    assigner, hub = make_assigner()
+    # Without backoff they would keep a core and the relay busy.
+    assigner, event_loop = make_assigner()
     suspend_reconciliation(assigner).relay.watch.start()
     for _ in range(200):
-        if any(c.peer.name == "relay_watch" and not c.over for c in hub.made):
+        if any(c.peer.name == "relay_watch" and not c.over for c in event_loop.made):
             feed(
-                hub.open("relay_watch"),
+                event_loop.open("relay_watch"),
                 [{"method": "GRANT", "params": {"partition": 1, "yes": "odd"}}],
             )
-        hub.pass_time(10)
-    assert 2 < len(hub.made) < 10
+        event_loop.pass_time(10)
+    assert 2 < len(event_loop.made) < 10
 
 
 @pytest.mark.parametrize(
@@ -220,17 +224,17 @@
     ],
 )
 def test_notifications_about_unknown_ids_are_ignored(news):
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub)
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop)
     take_pending_events(assigner)
-    feed(hub.open("relay_watch"), [news])
-    assert take_pending_events(assigner) == [] and not hub.open("relay_watch").over
+    feed(event_loop.open("relay_watch"), [news])
+    assert take_pending_events(assigner) == [] and not event_loop.open("relay_watch").over
 
 
-def test_a_notification_whose_method_is_no_word_is_a_bad_message():
-    assigner, hub = make_assigner()
-    open_watch_stream(suspend_reconciliation(assigner), hub)
-    connection = hub.open("relay_watch")
+def test_a_notification_whose_method_is_not_a_string_is_a_bad_message():
+    assigner, event_loop = make_assigner()
+    open_watch_stream(suspend_reconciliation(assigner), event_loop)
+    connection = event_loop.open("relay_watch")
     feed(connection, [{"method": ["SUBSCRIBE"]}])
-    assert connection.over and hub.counters.get("bad_messages") == 1
-    assert hub.counters.get("failures", 0) == 0
+    assert connection.over and event_loop.counters.get("bad_messages") == 1
+    assert event_loop.counters.get("failures", 0) == 0
--- a/tests/net/test_start_size.py
+++ b/tests/net/test_start_size.py
@@ -1,5 +1,7 @@
-"""How much a start loads before it listens: modules imported and files opened by the interpreter,
-which do not vary between runs."""
+"""What a start loads before it listens: imported modules and opened files.
+
+Unlike the start time, these do not vary between runs.
+"""
 
 import re
 from pathlib import Path
@@ -8,9 +10,9 @@
 
 import havendyke
 
-# What the interpreter loads before the program's first line does not count: it depends on the
-# installation.
-MEASURED = """
+# Records what is loaded until the program binds its socket. What the interpreter loads before the
+# program's first line is left out: it depends on the installation.
+AUDIT_CODE = """
 import os
 import sys
 preloaded, opened = set(sys.modules), set()
@@ -20,16 +22,16 @@
     elif event == "socket.bind":
         modules = sorted(set(sys.modules) - preloaded)
         import json
-        told = {"event": "start_size", "modules": modules, "files": sorted(opened)}
-        os.write(2, json.dumps(told).encode() + b"\\n")
+        record = {"event": "start_size", "modules": modules, "files": sorted(opened)}
+        os.write(2, json.dumps(record).encode() + b"\\n")
 sys.addaudithook(audit)
 """
-# Modules and files of others, as measured with CPython 3.11, and five more for other patch levels;
-# the program's own modules are counted without slack.
-MODULES, FILES, OWN = 126 + 5, 88 + 5, 91
+# Third-party and standard modules and files with CPython 3.11, and five more for other patch
+# levels; the program's own modules have no margin.
+MAX_OTHER_MODULES, MAX_OTHER_FILES, MAX_OWN_MODULES = 126 + 5, 88 + 5, 91
 PACKAGE = str(Path(havendyke.__file__).parent)
-# What is heavy and not needed for a start without arguments or operator's file.
-HEAVY = (
+# Expensive modules that a start without arguments or operator's file does not need.
+HEAVY_MODULES = (
     "argparse",
     "click",
     "email",
@@ -45,33 +47,34 @@
 
 @pytest.fixture
 def start_size(deployment):
-    return deployment.start(MEASURED, wait="start_size").log[-1]
+    return deployment.start(AUDIT_CODE, wait="start_size").log[-1]
 
 
 def source(path):
-    """A module's source, whether its source or its compiled file was opened: both, where the build
-    has compiled it."""
+    """The source path of a module, for its source file and its compiled file alike."""
     return re.sub(r"__pycache__/([^./]+)\.[^/]*$", r"\1.py", path)
 
 
-def own(modules):
+def own_modules(modules):
     return [name for name in modules if name.partition(".")[0] == "havendyke"]
 
 
-def test_a_start_imports_no_more_modules_of_others(start_size):
-    others = set(start_size["modules"]) - set(own(start_size["modules"]))
-    assert len(others) <= MODULES, sorted(others)
+def test_a_start_imports_no_additional_modules_of_others(start_size):
+    others = set(start_size["modules"]) - set(own_modules(start_size["modules"]))
+    assert len(others) <= MAX_OTHER_MODULES, sorted(others)
 
 
-def test_a_start_opens_no_more_files_of_others(start_size):
+def test_a_start_opens_no_additional_files_of_others(start_size):
     files = {source(path) for path in start_size["files"] if not path.startswith(PACKAGE)}
-    assert len(files) <= FILES, sorted(files)
+    assert len(files) <= MAX_OTHER_FILES, sorted(files)
 
 
-def test_a_start_loads_no_more_modules_of_its_own(start_size):
-    assert len(own(start_size["modules"])) <= OWN, own(start_size["modules"])
+def test_a_start_imports_no_additional_modules_of_its_own(start_size):
+    assert len(own_modules(start_size["modules"])) <= MAX_OWN_MODULES, own_modules(
+        start_size["modules"]
+    )
 
 
-@pytest.mark.parametrize("name", HEAVY)
-def test_a_start_does_not_load(start_size, name):
+@pytest.mark.parametrize("name", HEAVY_MODULES)
+def test_a_start_does_not_import(start_size, name):
     assert name not in start_size["modules"]
--- a/tests/net/test_unresolved_call.py
+++ b/tests/net/test_unresolved_call.py
@@ -1,4 +1,4 @@
-"""A call whose outcome is unknown, on its own."""
+"""`UnresolvedCall` without a relay client."""
 
 from types import SimpleNamespace
 
@@ -14,7 +14,7 @@
 
 
 class Owner:
-    """Takes note of what became of calls."""
+    """Records the outcomes of calls."""
 
     def __init__(self):
         self.resolved = []
@@ -23,42 +23,42 @@
         self.resolved.append((list(orders.values()), carried_out))
 
     def send_next(self):
-        """Nothing waits."""
+        """No orders are queued."""
 
 
 def by_key(*orders):
     return {order.key: order for order in orders}
 
 
-def unresolved(hub, *orders):
-    """The call with these orders, and its owner; replies were due some time ago."""
+def unresolved(event_loop, *orders):
+    """An unresolved call with these orders, and its owner; the time of the reply has passed."""
     slices = SimpleNamespace(tables=PUBLISHED)
-    watch = SimpleNamespace(slices=slices, request_snapshot=lambda on_tables: None)
+    watch = SimpleNamespace(slices=slices, request_snapshot=lambda callback: None)
     owner = Owner()
-    call = UnresolvedCall(hub, watch, owner)
-    call.begin(by_key(*orders), hub.now() + REPLY_DUE_MS)
-    hub.pass_time(2 * REPLY_DUE_MS)
+    call = UnresolvedCall(event_loop, watch, owner)
+    call.begin(by_key(*orders), event_loop.now() + REPLY_DUE_MS)
+    event_loop.pass_time(2 * REPLY_DUE_MS)
     return call, owner
 
 
-def test_a_call_that_waits_for_its_retry_goes_along_with_newer_orders():
-    unchanged = WeightOrder(4, "s1", 1.0)  # the published table has it: no snapshot tells
+def test_a_call_that_waits_for_its_retry_is_sent_with_newer_orders():
+    unchanged = WeightOrder(4, "s1", 1.0)  # as published, so that no snapshot shows the outcome
     call, owner = unresolved(LabHub(), unchanged)
     call.retry_with_newer_orders()
     assert owner.resolved == [([unchanged], False)]
 
 
-def test_the_retry_of_an_emptied_call_decides_nothing_about_the_next():
-    hub = LabHub()
-    call, owner = unresolved(hub, WeightOrder(4, "s1", 1.0))
+def test_the_retry_of_an_emptied_call_does_not_resolve_the_next_one():
+    event_loop = LabHub()
+    call, owner = unresolved(event_loop, WeightOrder(4, "s1", 1.0))
     call.discard_slice(4)
-    call.begin(by_key(WeightOrder(5, "s1", 0.5)), hub.now() + REPLY_DUE_MS)
+    call.begin(by_key(WeightOrder(5, "s1", 0.5)), event_loop.now() + REPLY_DUE_MS)
     call.retry_with_newer_orders()
     assert owner.resolved == [] and call.is_pending
 
 
 class Relay:
-    """Carries out each call or not, and answers requests for a snapshot when told to."""
+    """Carries out each call or not, and answers snapshot requests on demand."""
 
     def __init__(self):
         self.hub = LabHub()
@@ -68,14 +68,14 @@
         watch = SimpleNamespace(slices=slices, request_snapshot=self.snapshots.append)
         self.known = slices.tables
         self.call = UnresolvedCall(self.hub, watch, self)
-        self.number = 0
-        self.begun = None  # orders, whether carried out, whether a snapshot was answered since
+        self.call_count = 0
+        self.begun = None  # order, whether it was carried out, whether a snapshot came since
 
     def begin(self, slice_id, changes, carried_out):
         if self.call.orders:
             return
-        self.number += 1
-        order = WeightOrder(slice_id, "s1", 1.0 + self.number if changes else 1.0)
+        self.call_count += 1
+        order = WeightOrder(slice_id, "s1", 1.0 + self.call_count if changes else 1.0)
         if carried_out:
             self.tables[slice_id] = {"s1": order.weight}
         self.begun = (order, carried_out, False)
@@ -95,16 +95,16 @@
         pending, self.snapshots[:] = self.snapshots[:], []
         if self.begun and pending:
             self.begun = (*self.begun[:2], True)
-        for on_tables in pending:
-            on_tables({k: dict(table) for k, table in self.tables.items()})
+        for callback in pending:
+            callback({k: dict(table) for k, table in self.tables.items()})
 
-    # As the owner of the call
+    # The interface of `CallOwner`.
 
     def call_resolved(self, orders, carried_out):
         if not orders:
             return
         order, was_carried_out, compared = self.begun
-        assert orders == by_key(order), "the orders of another call"
+        assert orders == by_key(order), "resolved with the orders of another call"
         if {"s1": order.weight} != self.known[order.slice_id]:
             assert compared, "resolved without a snapshot"
             assert carried_out == was_carried_out
@@ -112,7 +112,7 @@
             self.known[order.slice_id] = {"s1": order.weight}
 
     def send_next(self):
-        """Nothing waits."""
+        """No orders are queued."""
 
 
 STEPS = (Relay.begin, Relay.reassign, Relay.push, Relay.wait, Relay.answer)
--- a/tests/net/test_wire_relay.py
+++ b/tests/net/test_wire_relay.py
@@ -1,4 +1,4 @@
-"""The relay's messages beside the terms that the rest of the program uses."""
+"""Encoding of orders and decoding of call replies in the relay's protocol."""
 
 import orjson
 import pytest
@@ -36,13 +36,13 @@
 
 
 @pytest.mark.parametrize("order, encoded", ORDERS)
-def test_each_order_has_its_form_on_the_wire(order, encoded):
+def test_each_order_has_its_wire_format(order, encoded):
     assert encode_order(order) == encoded
     assert list(encode_order(order)) == list(encoded)
     assert encoded_size(order) == len(orjson.dumps(encoded)) + 1
 
 
-def test_a_call_is_one_line_and_a_watch_has_no_parameters():
+def test_a_call_is_one_line_and_a_watch_request_has_no_parameters():
     assert encode_call(1, Method.WATCH) == b'{"jsonrpc":"2.0","id":1,"method":"relay.watch"}\n'
     assert encode_call(2, Method.APPLY, [ClearOrder(4)]) == (
         b'{"jsonrpc":"2.0","id":2,"method":"relay.apply",'
@@ -59,7 +59,7 @@
         ({"error": {"message": "SYNTAX: x"}}, CallRejected("SYNTAX: x", unreadable=True)),
     ],
 )
-def test_a_reply_says_what_became_of_the_call(reply, result):
+def test_a_reply_states_the_outcome_of_the_call(reply, result):
     assert decode_call_reply(reply, 2) == result
     assert type(decode_call_reply(reply, 2)) is type(result)
 
