--- a/fuzz/faults.py
+++ b/fuzz/faults.py
@@ -91,7 +91,7 @@
         "bad_over_tries",
         "net/wire_reports.py",
         'parse_count(fields, "bad", attempts)',
-        'parse_count(fields, "bad", self._limits.report_count)',
+        'parse_count(fields, "bad", self._limits.max_report_requests)',
         "reports",
     ),
     Fault(
--- a/fuzz/targets/machines.py
+++ b/fuzz/targets/machines.py
@@ -100,7 +100,7 @@
             told for told in self.hub.logged if told[0] in ("failure", "reconciliation_failed")
         ]
         hold(not failed, "a failure:", failed[:2])
-        ended = [c for c in self.assigner.collectors.clients if c.connection.over]
+        ended = [c for c in self.assigner.collectors.clients if c.connection.ended]
         hold(not ended, len(ended), "callers hold a place though they have ended")
         slots, deadlines = (
             len(self.hub.slots),
@@ -167,7 +167,7 @@
         for peer in [
             p
             for p in self.relay.peers
-            if not p.connection.over and p.connection.peer.name == "relay"
+            if not p.connection.ended and p.connection.peer.name == "relay"
         ]:
             peer.close("ended" if a & 1 else "reset")
 
@@ -258,7 +258,7 @@
 
     def collector(self, a, b, c):
         connection = self.world.collector(("a", "b", "z", None)[a % 4])
-        if a % 4 < 2 and not connection.over:
+        if a % 4 < 2 and not connection.ended:
             for k in range(b % 8):
                 feed(
                     connection,
@@ -284,7 +284,7 @@
     def flood(self, a, b, c):
         for _ in range(a % 40):
             connection = self.world.collector(None)
-            if not connection.over:
+            if not connection.ended:
                 feed(
                     connection,
                     (b"", b"*", b"*1\r\n$4\r\nPI", b"GET / HTTP/1.1\r\n", encode("PING"))[b % 5],
@@ -311,7 +311,7 @@
             for connection in [
                 x
                 for x in self.hub.made
-                if not x.over and x.peer.name in ("relay_watch", "relay", "discovery")
+                if not x.ended and x.peer.name in ("relay_watch", "relay", "discovery")
             ]:
                 if connection.address[0] != self.addresses["distributor"]["address"].split(":")[0]:
                     connection.close("reset")
@@ -389,7 +389,7 @@
     "the relay's news on two streams that break, come late and repeat",
     TURNS,
     ("net/relay_watch", "net/relay_stream", "net/slice_assignments", "net/relay_client"),
-    news_streams=2,
+    relay_watch_count=2,
 )
 play(
     "lists",
@@ -409,8 +409,8 @@
     "collectors, strangers, floods and probes",
     CALLERS,
     ("net/collectors", "net/health_checks"),
-    callers=24,
-    slots=64,
+    max_clients=24,
+    max_connections=64,
 )
 play(
     "moves",
@@ -424,7 +424,7 @@
         "net/discovery",
     ),
 )
-play("world", "all of it at once", ALL, ("net", "policy"), news_streams=2)
+play("world", "all of it at once", ALL, ("net", "policy"), relay_watch_count=2)
 
 
 @register(
--- a/fuzz/targets/settings.py
+++ b/fuzz/targets/settings.py
@@ -146,7 +146,7 @@
 def settings(data):
     text, touched = changed(data)
     try:
-        made = config.read(text, "file", {})
+        made = config.parse_config(text, "file", {})
     except config.ConfigError as error:
         hold(touched != [], "a valid file is refused:", str(error))
         hold("\n" not in str(error) and len(str(error)) < 400, "not one line:", str(error)[:500])
@@ -196,7 +196,7 @@
 )
 def file(data):
     try:
-        config.read(data, "file", {})
+        config.parse_config(data, "file", {})
     except config.ConfigError as error:
         hold("\n" not in str(error) and len(str(error)) < 400, "not one line:", str(error)[:500])
     else:
--- a/fuzz/targets/values.py
+++ b/fuzz/targets/values.py
@@ -178,7 +178,7 @@
     hub.up(connection)
     watch(connection, encode("SOURCE", "az", "a"))
     events_of(assigner)
-    while not draw.over and not connection.over:
+    while not draw.over and not connection.ended:
         shard = draw.flag()
         fields = (
             {
@@ -209,7 +209,7 @@
         made += [] if draw.below(8) else ["odd"]
         watch(connection, encode(*made) + GOOD)
         came = events_of(assigner)
-        hold(not connection.over, "a spoilt report ended its collector")
+        hold(not connection.ended, "a spoilt report ended its collector")
         hold(
             came and isinstance(came[-1], core.ServerLoadReport) and came[-1].attempts == 7,
             "the good report behind",
@@ -383,7 +383,7 @@
         "ping": {},
     }
     while not draw.over:
-        if stream.over:
+        if stream.ended:
             hub.pass_time(600)
             if not hub.standing("relay_watch"):
                 break
@@ -519,7 +519,7 @@
     (connection,) = hub.standing(HealthCheck.name)
     hub.up(connection)
     watch(connection, draw.rest())
-    if end in (1, 2, 4, 5) and not connection.over:
+    if end in (1, 2, 4, 5) and not connection.ended:
         connection.eof_received() if end != 4 else connection.connection_lost(
             ConnectionResetError()
         )
--- a/fuzz/targets/world.py
+++ b/fuzz/targets/world.py
@@ -65,7 +65,7 @@
 def assigner_on(quiet: bool = True, servers=("s1", "s2", "s3"), limits=None, **more):
     """An assigner and its hub; a quiet one makes no turns, so that what it is told stays in its
     inbox."""
-    hub = LabHub(**{"news_streams": 1} | (limits or {}))
+    hub = LabHub(**{"relay_watch_count": 1} | (limits or {}))
     made = Assigner(config.read_config(raw_config(known=known(*servers), **more), {}), hub)
     made.reconcile_pending = quiet
     for number in range(SETTINGS["familyInfo"]["keyRanges"]):
--- a/havendyke/cli/check.py
+++ b/havendyke/cli/check.py
@@ -34,10 +34,10 @@
 
 def _check_config(path: str | None) -> str:
     """The name of the assigner that the configuration is for."""
-    from ..config import ConfigError, load
+    from ..config import ConfigError, load_config
 
     try:
-        return load(os.environ, path).name
+        return load_config(os.environ, path).name
     except ConfigError as error:
         raise CommandError(str(error)) from None
 
--- a/havendyke/config/__init__.py
+++ b/havendyke/config/__init__.py
@@ -6,16 +6,16 @@
 
 from .deployment import WireNames, read_settings
 from .limits import Limits
-from .loading import Config, ConfigError, load, parse_address, read, read_config
+from .loading import Config, ConfigError, load_config, parse_address, parse_config, read_config
 
 __all__ = [
     "Config",
     "ConfigError",
     "Limits",
     "WireNames",
-    "load",
+    "load_config",
     "parse_address",
-    "read",
+    "parse_config",
     "read_config",
     "read_settings",
 ]
--- a/havendyke/config/deployment.py
+++ b/havendyke/config/deployment.py
@@ -57,7 +57,7 @@
     zones: tuple[str, ...]
     machine_kinds: tuple[str, ...]
     request_classes: tuple[str, ...]
-    reports: bool  # whether load reports come
+    has_load_reports: bool  # whether load reports come
     proxy_count: int  # 0: not stated
 
 
@@ -99,7 +99,8 @@
         request_classes=tuple(
             read_field(one, "name", str, "") for one in read_field(raw, "requestClasses", list)
         ),
-        reports=read_field(read_field(raw, "telemetry", dict, {}), "source", str, "none") != "none",
+        has_load_reports=read_field(read_field(raw, "telemetry", dict, {}), "source", str, "none")
+        != "none",
         proxy_count=read_integer(
             read_field(raw, "familyInfo", dict, {}), "dataPlaneSize", 0, 0, MAX_PROXIES
         ),
--- a/havendyke/config/loading.py
+++ b/havendyke/config/loading.py
@@ -42,7 +42,7 @@
     limits: Limits = field(default_factory=Limits)
 
 
-def load(environ: Environment, path: str | None = None, reloading: bool = False) -> Config:
+def load_config(environ: Environment, path: str | None = None, reloading: bool = False) -> Config:
     """The configuration of a file, which a variable names by default; raises `ConfigError`.
 
     On a reload the variables are those of the start, and the file may differ from them.
@@ -55,10 +55,10 @@
             data = file.read()
     except OSError as error:
         raise ConfigError(f"{PATH_VARIABLE}: {path}: {error.strerror}") from None
-    return read(data, f"{PATH_VARIABLE}: {path}", {} if reloading else environ)
+    return parse_config(data, f"{PATH_VARIABLE}: {path}", {} if reloading else environ)
 
 
-def read(data: bytes, source: str, environ: Environment) -> Config:
+def parse_config(data: bytes, source: str, environ: Environment) -> Config:
     """The configuration of a file's bytes; raises `ConfigError`. `source` stands in errors."""
     try:
         raw = orjson.loads(data)
--- a/havendyke/lab/hub.py
+++ b/havendyke/lab/hub.py
@@ -48,9 +48,16 @@
     def __init__(self, **limits):
         self.limits = replace(Limits(), **limits)
         self.counters, self.logged, self.time, self.made, self.later = {}, [], 1000.0, [], []
-        self.deadlines, self.slots, self.loop = DeadlineQueue(), SlotTable(self.limits.slots), self
+        self.deadlines, self.slots, self.loop = (
+            DeadlineQueue(),
+            SlotTable(self.limits.max_connections),
+            self,
+        )
         self.buffer_budget, self.started_s, self.dialled = BufferBudget(1e6), 0.0, None
-        self.discard_buffer, self.lingering_connections = bytearray(self.limits.buffer), 0
+        self.discard_buffer, self.lingering_connections = (
+            bytearray(self.limits.initial_buffer_bytes),
+            0,
+        )
 
     def log(self, event, **more):
         self.logged.append((event, more))
@@ -58,7 +65,7 @@
     def now(self) -> float:
         return self.time
 
-    def wall(self) -> float:
+    def wall_offset_ms(self) -> float:
         return -5000.0
 
     def arm(self):
@@ -93,7 +100,7 @@
     def standing(self, *names) -> list:
         """The connections of these peers that are not over, oldest first; those that are over are
         forgotten."""
-        self.made = [c for c in self.made if not c.over]
+        self.made = [c for c in self.made if not c.ended]
         return [c for c in self.made if c.peer.name in names]
 
     @staticmethod
@@ -104,13 +111,13 @@
 
     def open(self, name: str, up: bool = True):
         """The newest connection of these peers that is not over; brought up first."""
-        made = [c for c in self.made if c.peer.name == name and not c.over][-1]
+        made = [c for c in self.made if c.peer.name == name and not c.ended][-1]
         return self.up(made) if up else made
 
 
 def feed(connection, data: bytes):
     """Bytes as a socket brings them: no more at a time than the room there is."""
-    while data and not connection.over:
+    while data and not connection.ended:
         room = connection.get_buffer(-1)
         count = min(len(room), len(data))
         room[:count] = data[:count]
--- a/havendyke/lab/life.py
+++ b/havendyke/lab/life.py
@@ -29,7 +29,7 @@
         def make(hub):
             began, wall, boot, since = hub.time, self.wall, f"boot-{self.boot}", self.since
             clock = lambda: Timestamp(wall + hub.time - began, boot, since + hub.time - began)  # noqa: E731
-            hub.wall = lambda: began - wall
+            hub.wall_offset_ms = lambda: began - wall
             self.durable = DurableState(
                 StateOptions("/"), hub.log, disk or LabDisk(self.memory), clock, InlineWriter
             )
--- a/havendyke/lab/peers.py
+++ b/havendyke/lab/peers.py
@@ -46,7 +46,7 @@
         self.held = None  # what is held up on its way, in order
 
     def up(self):
-        if not self.connection.over:
+        if not self.connection.ended:
             self.connection.connection_made(
                 Transport(lambda: self.world.after(0.5, self.look), self.end)
             )
@@ -65,7 +65,7 @@
     def say(self, data: bytes):
         if self.held is not None:
             self.held.append(data)
-        elif not self.silent and not self.connection.over:
+        elif not self.silent and not self.connection.ended:
             self.world.said(self.connection, data)
             feed(self.connection, data)
 
@@ -125,7 +125,7 @@
         self.world.after(PING, self.ping)
 
     def live(self) -> list:
-        self.watchers = [w for w in self.watchers if not w.connection.over]
+        self.watchers = [w for w in self.watchers if not w.connection.ended]
         return self.watchers
 
     def tell(self, method, to=None, **params):
@@ -259,7 +259,7 @@
         self.world.after(EMPTY, self.empty)
 
     def live(self) -> list:
-        self.watchers = [w for w in self.watchers if not w.connection.over]
+        self.watchers = [w for w in self.watchers if not w.connection.ended]
         return self.watchers
 
     @staticmethod
@@ -354,7 +354,7 @@
         elif not (name == "health_checks" and self.probe_answers == "absent"):
             peer = kind(self, connection)
             if kind is RelayPeer:
-                self.relay.peers = [p for p in self.relay.peers if not p.connection.over] + [peer]
+                self.relay.peers = [p for p in self.relay.peers if not p.connection.ended] + [peer]
             self.after(0.5, peer.up)
 
     def answer_probe(self, peer):
@@ -385,7 +385,7 @@
                 call()
                 self.hub.run()
         self.hub.time = end
-        self.hub.made = [c for c in self.hub.made if not c.over]
+        self.hub.made = [c for c in self.hub.made if not c.ended]
 
     def stand_still(self, ms: float):
         """The assigner alone does nothing meanwhile; then everything is late at once."""
@@ -394,11 +394,11 @@
     def collector(self, zone: str | None):
         """A newcomer at the assigner's address; joined where a zone is named."""
         connection = self.assigner.collectors.accept()
-        if not connection.over:
+        if not connection.ended:
             connection.connection_made(Transport())
             if zone is not None:
                 feed(connection, encode("SOURCE", "az", zone))
-        self.callers = [c for c in self.callers if not c.over] + [connection]
+        self.callers = [c for c in self.callers if not c.ended] + [connection]
         return connection
 
     def disagreements(self) -> list:
--- a/havendyke/lab/scale/hollow.py
+++ b/havendyke/lab/scale/hollow.py
@@ -132,7 +132,7 @@
 
     def bring(self, zone: str, messages: list):
         connection = self.collectors[zone]
-        if not connection.over:
+        if not connection.ended:
             data = b"".join(messages)
             self.meter.count("reports", IN, data, len(messages))
             feed(connection, data)
--- a/havendyke/lab/scale/real.py
+++ b/havendyke/lab/scale/real.py
@@ -36,7 +36,7 @@
         self.writer = writer
 
     @property
-    def over(self) -> bool:
+    def ended(self) -> bool:
         return self.writer.is_closing()
 
     def close(self, how="reset"):
--- a/havendyke/net/assigner.py
+++ b/havendyke/net/assigner.py
@@ -56,7 +56,7 @@
         self.event_loop = event_loop
         self.config = config
         self.registry = ObjectRegistry(config.settings, config.seed)
-        self.messages = Messages(config, self.registry, event_loop.wall, event_loop.now)
+        self.messages = Messages(config, self.registry, event_loop.wall_offset_ms, event_loop.now)
         self.relay = RelayClient(event_loop, config.relay, self.messages, self.notify)
         self.reconcile_pending = False
         self.timers_running = 0
@@ -67,7 +67,7 @@
             event_loop, config.discovery, self.messages, self.notify, list_version, config.seed
         )
         self.collectors = Collectors(event_loop, self.messages, self.notify)
-        path = "/stats" if config.wire_names.reports else "/health/live"
+        path = "/stats" if config.wire_names.has_load_reports else "/health/live"
         self.health_checker = HealthChecker(event_loop, self.messages, self.notify, path)
         self._fleet_summary = FleetSummary(event_loop, self.registry.controller)
 
@@ -88,7 +88,7 @@
         if config.relay != old.relay:
             self.relay.move(config.relay)
         if config.discovery != old.discovery:
-            self.discovery.move(config.discovery)
+            self.discovery.set_address(config.discovery)
         after_restart = [
             name
             for name in FIXED_AT_START
@@ -103,16 +103,16 @@
         )
 
     def forget_departed(self) -> None:
-        """Forgets servers that have left for good, at once and every `limits.sweep` ms.
+        """Forgets servers that have left for good, at once and at an interval.
 
-        Only which of them were ejected is remembered, at most `limits.forgotten` ids.
+        Only which of them were ejected is remembered: `limits.max_remembered_ejections` at most.
         """
         limits = self.event_loop.limits
-        departed = self.registry.forget_departed(limits.forgotten)
+        departed = self.registry.forget_departed(limits.max_remembered_ejections)
         self.messages.endpoint_list.forget(departed)
         self.health_checker.forget(departed)
         self.event_loop.count("servers_forgotten", len(departed))
-        self.event_loop.after(limits.sweep, self.forget_departed)
+        self.event_loop.after(limits.departed_sweep_interval_ms, self.forget_departed)
 
     def notify(self, event: Event) -> None:
         """Adds an event to the next reconciliation; called by peers and timers.
@@ -223,7 +223,7 @@
         timer_ids = [event.timer_id for event in failed if isinstance(event, TimerFired)]
         if not timer_ids and not self.timers_running:
             timer_ids = [RECONCILE_TIMER_ID]
-        delay_ms = self.event_loop.limits.turn_again
+        delay_ms = self.event_loop.limits.reconcile_retry_ms
         self.carry_out([StartTimer(timer_id, delay_ms) for timer_id in timer_ids])
         # Orders that the controller takes for published may never have left.
         self.relay.report_diverging_tables()
--- a/havendyke/net/collectors.py
+++ b/havendyke/net/collectors.py
@@ -46,12 +46,12 @@
     def opened(self, connection: Connection) -> None:
         """Begins to wait for the client's zone."""
         limits = self._event_loop.limits
-        self._parser = RespParser(connection.buffer, limits.stranger_message)
-        self._identify_timer.start(limits.stranger)
+        self._parser = RespParser(connection.buffer, limits.max_unidentified_message_bytes)
+        self._identify_timer.start(limits.identify_timeout_ms)
 
     def received(self, connection: Connection) -> None:
         """Takes all messages that are complete."""
-        while not connection.over and (message := self._parser.next()) is not None:
+        while not connection.ended and (message := self._parser.next()) is not None:
             try:
                 self._take_message(message)
             except ValueError as error:
@@ -77,7 +77,7 @@
             quoted = decode_text(kind)[:MAX_QUOTED_KIND_CHARS]
             raise FieldError(f"kind '{quoted}' before a joining")
         else:
-            report = self._collectors.messages.reports.report(message)
+            report = self._collectors.messages.reports.decode(message)
             name = decode_text(kind).lower()
             self._event_loop.count(f"reports_{name}" if report else "reports_unknown")
             if report is not None:
@@ -97,19 +97,19 @@
         self.connection.write(NACK)
         # A client that is rejected stays no longer than one that says nothing.
         time_left_ms = self._identify_timer.at_ms - self._event_loop.now()
-        linger_ms = min(self._event_loop.limits.linger, time_left_ms)
+        linger_ms = min(self._event_loop.limits.linger_ms, time_left_ms)
         self.connection.close("refused", linger_ms)
 
     def _identify(self, zone: str) -> None:
         self.zone = zone
-        self._parser.max_message_bytes = self._event_loop.limits.message
+        self._parser.max_message_bytes = self._event_loop.limits.max_message_bytes
         self._identify_timer.cancel()
         self._check_silence()
         self._event_loop.log("collector_connected", zone=zone)
 
     def _check_silence(self) -> None:
         # A half-open connection stays silent for good, and its place would never come free.
-        limit_ms = self._event_loop.limits.collector_silence
+        limit_ms = self._event_loop.limits.collector_silence_timeout_ms
         silent_ms = self._event_loop.now() - self.connection.last_received_ms
         if silent_ms >= limit_ms:
             self.connection.close("silent")
@@ -121,7 +121,7 @@
 
 
 class Collectors:
-    """All clients, at most `limits.callers` at a time; a new one takes another's place."""
+    """All clients, at most `limits.max_clients` at a time; a new one takes another's place."""
 
     def __init__(self, event_loop: EventLoop, messages: Messages, notify: NotifyReport) -> None:
         """`notify` gets each load report."""
@@ -132,11 +132,11 @@
 
     def accept(self) -> Connection:
         """The connection of a new client; closed already where no slot is free."""
-        if len(self.clients) >= self.event_loop.limits.callers:
+        if len(self.clients) >= self.event_loop.limits.max_clients:
             self._evict_client()
         client = Client(self)
         client.connection = self.event_loop.accept(client)
-        if not client.connection.over:
+        if not client.connection.ended:
             # Counted before it is up: the loop accepts many before the first of them is.
             self.clients.append(client)
         return client.connection
--- a/havendyke/net/connection.py
+++ b/havendyke/net/connection.py
@@ -68,7 +68,9 @@
         self.event_loop = event_loop
         self.peer = peer
         self.buffer = Buffer(
-            initial_buffer_size or limits.buffer, limits.message, event_loop.buffer_budget
+            initial_buffer_size or limits.initial_buffer_bytes,
+            limits.max_message_bytes,
+            event_loop.buffer_budget,
         )
         self.state = ConnectionState.CONNECTING
         self.slot: int | None = None
@@ -78,37 +80,37 @@
         self.last_received_ms = event_loop.now()  # at first, when it was made
 
     @property
-    def over(self) -> bool:
+    def ended(self) -> bool:
         """Whether the connection has ended for its peer."""
         return self.state in (ConnectionState.LINGERING, ConnectionState.CLOSED)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Of asyncio: the socket is connected."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.over:
+        if self.ended:
             self.transport.abort()
             return
         self.state = ConnectionState.OPEN
-        self.event_loop.drop(self.deadline)
+        self.event_loop.cancel(self.deadline)
         self.deadline = None
         self._call_peer(self.peer.opened, self)
 
     def get_buffer(self, sizehint: int) -> memoryview | bytearray:
         """Of asyncio: where the next bytes go."""
-        free_space = None if self.over else self._call_peer(self.buffer.free_space)
+        free_space = None if self.ended else self._call_peer(self.buffer.free_space)
         # What comes after the end is read and discarded.
         return self.event_loop.discard_buffer if free_space is None else free_space
 
     def buffer_updated(self, count: int) -> None:
         """Of asyncio: so many bytes have come."""
-        if not self.over:
+        if not self.ended:
             self.buffer.end += count
             self.last_received_ms = self.event_loop.now()
             self._call_peer(self.peer.received, self)
 
     def eof_received(self) -> bool:
         """Of asyncio: the other side has ended its direction, with which ours ends too."""
-        if not self.over:
+        if not self.ended:
             self.close("ended")
         return False
 
@@ -125,9 +127,12 @@
 
         One that does not read must not fill the memory.
         """
-        if self.transport is not None and not self.over:
+        if self.transport is not None and not self.ended:
             self.transport.write(data)
-            if self.transport.get_write_buffer_size() > self.event_loop.limits.unread:
+            if (
+                self.transport.get_write_buffer_size()
+                > self.event_loop.limits.max_write_buffer_bytes
+            ):
                 self.close("unread")
 
     def close(self, why: str, linger_ms: float = 0.0) -> None:
@@ -135,10 +140,10 @@
 
         For `linger_ms` the other side may still read what was written just now.
         """
-        if self.over:
+        if self.ended:
             return
         self.state = ConnectionState.CLOSED
-        self.event_loop.drop(self.deadline)
+        self.event_loop.cancel(self.deadline)
         # Messages that are slices of the buffer may be in use right now.
         self.event_loop.loop.call_soon(self.buffer.release)
         if not (linger_ms > 0 and self._start_lingering(linger_ms)):
@@ -173,7 +178,7 @@
         event_loop = self.event_loop
         if (
             self.transport is None
-            or event_loop.lingering_connections >= event_loop.limits.lingering
+            or event_loop.lingering_connections >= event_loop.limits.max_lingering_connections
         ):
             return False
         try:
@@ -189,7 +194,7 @@
         if self.state is ConnectionState.LINGERING:
             self.state = ConnectionState.CLOSED
             self.event_loop.lingering_connections -= 1
-            self.event_loop.drop(self.deadline)
+            self.event_loop.cancel(self.deadline)
             self._release_slot()
             self._abort()
 
--- a/havendyke/net/discovery.py
+++ b/havendyke/net/discovery.py
@@ -25,7 +25,7 @@
 
 # Checks by version that fail in a row before the complete list is asked for.
 MAX_FAILED_VERSION_CHECKS = 2
-# The longest backoff after a list that could not be read, in waits of `limits.discovery_again`.
+# The longest backoff after a list that could not be read, in waits of `limits.discovery_retry_ms`.
 MAX_BACKOFF_FACTOR = 16
 DIGEST_SIZE = 16  # bytes
 
@@ -80,7 +80,9 @@
         # Version and digest of the complete list that was taken last.
         self._taken_list: tuple[int, bytes] | None = None
         self._watch_progress = _WatchProgress(version)
-        self._backoff = Backoff(limits.discovery_again, MAX_BACKOFF_FACTOR * limits.discovery_again)
+        self._backoff = Backoff(
+            limits.discovery_retry_ms, MAX_BACKOFF_FACTOR * limits.discovery_retry_ms
+        )
         self._request_timer = Timer(event_loop, self._request_list)
         # One for all watches: with one each, every loss would open all that are missing, and the
         # number of those that fail at once would double with each round.
@@ -90,9 +92,9 @@
     def start(self) -> None:
         """Asks for the list, watches it, and checks it from now on."""
         self._reopen_queries()
-        self.event_loop.after(self.event_loop.limits.discovery_check, self.check)
+        self.event_loop.after(self.event_loop.limits.discovery_check_interval_ms, self.check)
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Discovery is at another address now.
 
         The queries at the old one end once a watch at the new one is answered.
@@ -104,7 +106,7 @@
 
     def open_watches(self) -> None:
         """Opens the watches that are missing."""
-        missing = self.event_loop.limits.discovery_streams - len(self._watches())
+        missing = self.event_loop.limits.discovery_watch_count - len(self._watches())
         for _ in range(missing):
             if not self._open_query(follow=True):
                 return
@@ -118,7 +120,7 @@
             self.check_complete_list()
         elif self.version_check is None and not self._list_requested():
             self._check_version()
-        self.event_loop.after(self.event_loop.limits.discovery_check, self.check)
+        self.event_loop.after(self.event_loop.limits.discovery_check_interval_ms, self.check)
 
     def check_complete_list(self) -> None:
         """Requests the complete list, unless a request is pending.
@@ -132,7 +134,7 @@
 
     def query_established(self, query: ListQuery) -> None:
         """The first bytes of an answer's body have come; called once a query."""
-        self.event_loop.after(self.event_loop.limits.overlap, self._close_moved_queries)
+        self.event_loop.after(self.event_loop.limits.address_overlap_ms, self._close_moved_queries)
 
     def mark_reachable(self) -> None:
         """Bytes of an answer's body have come, other than that of a check by version."""
@@ -149,7 +151,7 @@
         if query.follow:
             self._watch_closed(query, why)
         elif why not in ("done", "moved"):
-            self._request_list_after(self.event_loop.limits.discovery_again)
+            self._request_list_after(self.event_loop.limits.discovery_retry_ms)
 
     def version_check_closed(self, why: str) -> None:
         """A check by version has ended; several failures in a row cost a complete list.
@@ -175,14 +177,14 @@
         digest = blake2b(body, digest_size=DIGEST_SIZE).digest()
         if self._taken_list == (self.version, digest):
             self.event_loop.count("list_unchanged")
-            self.pace.taken(len(body), self.event_loop.now())
+            self.pace.record_list(len(body), self.event_loop.now())
             return
         update = parse_object(body)
         readable = self.take_update(query, update)
         # An older list that was left may be the truth once no watch stands.
         if update["rev"] == self.version:
             self._taken_list = (self.version, digest)
-            self.pace.taken(len(body), self.event_loop.now())
+            self.pace.record_list(len(body), self.event_loop.now())
             if not readable:
                 self.pace.expire()
 
@@ -204,7 +206,7 @@
             self._apply(query, received)
             if is_check:
                 self._watch_progress.checked_version = version
-                self._settle_timer.start(self.event_loop.limits.discovery_settle)
+                self._settle_timer.start(self.event_loop.limits.discovery_settle_ms)
         else:
             self.event_loop.count("list_already_known")
         return readable
@@ -246,7 +248,7 @@
         """Returns whether there was a slot for it."""
         query = ListQuery(self, follow, may_reveal_restart)
         if query.connection is None:
-            self._open_watches_after(self.event_loop.limits.discovery_again)
+            self._open_watches_after(self.event_loop.limits.discovery_retry_ms)
             return False
         self.queries.append(query)
         return True
@@ -274,10 +276,10 @@
 
     def _request_list(self) -> None:
         if not self._open_query(follow=False):
-            self._request_list_after(self.event_loop.limits.discovery_again)
+            self._request_list_after(self.event_loop.limits.discovery_retry_ms)
 
     def _watch_closed(self, watch: ListQuery, why: str) -> None:
-        delay_ms = self.event_loop.limits.discovery_again
+        delay_ms = self.event_loop.limits.discovery_retry_ms
         if why != "moved" and not self._watched():
             # Discovery itself may have restarted. At the same version with another list, it would
             # send a watch nothing.
@@ -293,7 +295,7 @@
         check = VersionCheck(self)
         if check.connection is None:
             self.version_check_closed("no slot")
-        elif not check.connection.over:
+        elif not check.connection.ended:
             self.version_check = check
 
     def _apply(self, query: ListQuery, received: ReceivedList) -> None:
--- a/havendyke/net/event_loop.py
+++ b/havendyke/net/event_loop.py
@@ -36,9 +36,9 @@
         self.loop = asyncio.get_running_loop()
         self.loop.set_exception_handler(self._log_loop_failure)
         self.deadlines = DeadlineQueue()
-        self.slots: SlotTable[Connection] = SlotTable(limits.slots)
-        self.buffer_budget = BufferBudget(limits.buffers)
-        self.discard_buffer = bytearray(limits.buffer)
+        self.slots: SlotTable[Connection] = SlotTable(limits.max_connections)
+        self.buffer_budget = BufferBudget(limits.buffer_budget_bytes)
+        self.discard_buffer = bytearray(limits.initial_buffer_bytes)
         self.lingering_connections = 0
         self.started_s = time.monotonic()
         self._timer: asyncio.TimerHandle | None = None
@@ -52,7 +52,7 @@
         return time.monotonic() * 1000
 
     @staticmethod
-    def wall() -> float:
+    def wall_offset_ms() -> float:
         """What to add to Unix milliseconds to get the monotonic clock's."""
         return time.monotonic() * 1000 - time.time() * 1000
 
@@ -75,7 +75,7 @@
         self.arm()
         return deadline
 
-    def drop(self, deadline: Deadline | None) -> None:
+    def cancel(self, deadline: Deadline | None) -> None:
         """Cancels a deadline; one that is None, has passed or is cancelled stays so."""
         self.deadlines.cancel(deadline)
 
@@ -110,13 +110,13 @@
         if not self._assign_slot(connection):
             return None
         connection.deadline = self.after(
-            timeout_ms or self.limits.connect, lambda: connection.close("timeout")
+            timeout_ms or self.limits.connect_timeout_ms, lambda: connection.close("timeout")
         )
         return connection
 
     def accept(self, peer: Peer) -> Connection:
         """The connection of a client that has connected; closed already where no slot is free."""
-        connection = Connection(self, peer, self.limits.caller_buffer)
+        connection = Connection(self, peer, self.limits.initial_client_buffer_bytes)
         if self._assign_slot(connection):
             self.count("accepted")
         else:
@@ -142,9 +142,9 @@
         # After a standstill of this process the bytes that came meanwhile are read first: the
         # silence was its own, not that of its peers.
         late_ms = self.now() - self._timer_at_ms
-        self._catching_up = not self._catching_up and late_ms > self.limits.standstill
+        self._catching_up = not self._catching_up and late_ms > self.limits.stall_threshold_ms
         if self._catching_up:
-            delay_s = self.limits.catch_up / 1000
+            delay_s = self.limits.catch_up_ms / 1000
             self._timer = self.loop.call_later(delay_s, self._run_deadlines)
             return
         for callback in self.deadlines.pop_due(self.now() + TIMER_TOLERANCE_MS):
--- a/havendyke/net/fleet_summary.py
+++ b/havendyke/net/fleet_summary.py
@@ -85,7 +85,7 @@
             queue_share=round(state.queue_share, 3),
             success_age_ms=_median_success_age_ms(ready, self._event_loop.now()),
         )
-        self._event_loop.after(self._event_loop.limits.view, self.log_summary)
+        self._event_loop.after(self._event_loop.limits.summary_interval_ms, self.log_summary)
 
     def _migration_sources(self, primaries: dict[Slice, Server | None]) -> list[Server]:
         """The former primary of each slice that has another one now."""
--- a/havendyke/net/health_checks.py
+++ b/havendyke/net/health_checks.py
@@ -48,14 +48,14 @@
         self._body = b""
         self._timeout = Timer(event_loop, self._close_overdue)
         limits = event_loop.limits
-        self._timeout.start(limits.probe)
-        self.connection = event_loop.connect(address, self, limits.probe_connect)
+        self._timeout.start(limits.health_check_timeout_ms)
+        self.connection = event_loop.connect(address, self, limits.health_check_connect_timeout_ms)
         if self.connection is None:
             self._timeout.cancel()
 
     def opened(self, connection: Connection) -> None:
         """Sends the request."""
-        self._response = ResponseParser(connection.buffer, self._event_loop.limits.header)
+        self._response = ResponseParser(connection.buffer, self._event_loop.limits.max_header_bytes)
         connection.write(get_request(self._checker.path, self._address, "Connection: close\r\n"))
 
     def received(self, connection: Connection) -> None:
@@ -63,7 +63,7 @@
         assert self._response is not None
         while (part := self._response.next()) is not None:
             self._body += bytes(part)
-            if len(self._body) > self._event_loop.limits.header:
+            if len(self._body) > self._event_loop.limits.max_header_bytes:
                 raise MessageTooLongError("a load report is too long")
         if self._response.done:
             connection.close("answered")
@@ -90,7 +90,9 @@
     def _read_load(self) -> ServerLoad:
         """The server's load report; empty where it is malformed, which costs no more."""
         try:
-            return parse_server_load(decode_text(self._body), self._event_loop.limits.report_most)
+            return parse_server_load(
+                decode_text(self._body), self._event_loop.limits.max_reported_value
+            )
         except ValueError as error:
             self._event_loop.count("bad_messages")
             field = str(error)[:MAX_LOGGED_FIELD_CHARS]
@@ -131,12 +133,14 @@
         limits = self.event_loop.limits
         if address is None:
             self.event_loop.count("health_checks_skipped")
-        elif self.in_flight < limits.probes_open:
+        elif self.in_flight < limits.max_health_checks:
             self._start(server, address)
         elif server not in self.queue:
             if not self.event_loop.counters.get("health_checks_queued"):
                 self.event_loop.log(
-                    "health_checks_queued", limit=limits.probes_open, slots=limits.slots
+                    "health_checks_queued",
+                    limit=limits.max_health_checks,
+                    slots=limits.max_connections,
                 )
             self.event_loop.count("health_checks_queued")
             self.queue.append(server)
@@ -195,5 +199,5 @@
             self.event_loop.count("health_checks_skipped")
 
     def _start_queued(self) -> None:
-        if self.queue and self.in_flight < self.event_loop.limits.probes_open:
+        if self.queue and self.in_flight < self.event_loop.limits.max_health_checks:
             self.check(self.queue.popleft())
--- a/havendyke/net/list_pace.py
+++ b/havendyke/net/list_pace.py
@@ -29,7 +29,7 @@
         self._limits = limits
         self._draws = 0
 
-    def taken(self, size: int, now_ms: float) -> None:
+    def record_list(self, size: int, now_ms: float) -> None:
         """A complete list of `size` bytes was taken."""
         self.size = size
         self.due_at_ms = now_ms + self.period_ms() * (1.0 + JITTER * self._draw())
@@ -45,7 +45,7 @@
 
     def affordable(self) -> bool:
         """Whether a complete list at each check stays within the budget."""
-        budget = self._limits.discovery_bytes_per_s * self._limits.discovery_check
+        budget = self._limits.discovery_bytes_per_s * self._limits.discovery_check_interval_ms
         return MS_PER_SECOND * self.size <= budget
 
     def due(self, now_ms: float) -> bool:
--- a/havendyke/net/list_queries.py
+++ b/havendyke/net/list_queries.py
@@ -32,9 +32,9 @@
     """What has come of an answer: the response, and its body in lines."""
 
     def __init__(self, buffer: Buffer, limits: Limits) -> None:
-        self.response = ResponseParser(buffer, limits.header)
-        self.body = Buffer(limits.buffer, limits.message)
-        self.lines = LineParser(self.body, limits.message)
+        self.response = ResponseParser(buffer, limits.max_header_bytes)
+        self.body = Buffer(limits.initial_buffer_bytes, limits.max_message_bytes)
+        self.lines = LineParser(self.body, limits.max_message_bytes)
 
 
 class ListQuery:
@@ -148,7 +148,7 @@
         self.state = QueryState.ANSWERED
 
     def _expect_bytes(self) -> None:
-        self._silence_timer.start(self.event_loop.limits.discovery_silence)
+        self._silence_timer.start(self.event_loop.limits.discovery_silence_timeout_ms)
 
     def _close_silent(self) -> None:
         self.close("silent")
--- a/havendyke/net/listener.py
+++ b/havendyke/net/listener.py
@@ -19,7 +19,7 @@
         except OSError as error:
             # A process that ended just now may still hold the address.
             event_loop.log("listen_failed", cause=error.strerror)
-            await asyncio.sleep(event_loop.limits.listen_again / 1000)
+            await asyncio.sleep(event_loop.limits.listen_retry_ms / 1000)
 
 
 async def _open_listener(event_loop: EventLoop, address: tuple[str, int], accept: Accept) -> None:
@@ -30,9 +30,9 @@
         # asyncio accepts up to its backlog at once, and a flood would take all descriptors; the
         # kernel's queue may be longer and is set afterwards.
         await asyncio.get_running_loop().create_server(
-            accept, sock=listener, backlog=limits.accepts
+            accept, sock=listener, backlog=limits.accept_batch_size
         )
-        listener.listen(limits.backlog)
+        listener.listen(limits.listen_backlog)
     except OSError:
         # The next attempt would find the address taken by this socket.
         listener.close()
--- a/havendyke/net/relay_client.py
+++ b/havendyke/net/relay_client.py
@@ -87,7 +87,7 @@
         self._parser: LineParser | None = None  # None until the connection is up
         self._max_orders_per_call: int | None = None  # None: no limit; halved to find a bad order
         self._table_changed_ms: dict[int, float] = {}  # by slice, when a call that changes it ended
-        self._backoff = Backoff(self._limits.call_again, self._limits.again_most)
+        self._backoff = Backoff(self._limits.min_relay_backoff_ms, self._limits.max_backoff_ms)
         self._idle_timer = Timer(event_loop, self.close_idle)
         self._retry_timer = Timer(event_loop, self.send_next)
         self._recovery_timer = Timer(event_loop, self._try_recovery)
@@ -181,7 +181,7 @@
 
     def opened(self, connection: Connection) -> None:
         """The connection is up."""
-        self._parser = LineParser(connection.buffer, self._limits.message)
+        self._parser = LineParser(connection.buffer, self._limits.max_message_bytes)
         self.send_next()
         if not self.call:
             self._close_when_idle()
@@ -218,7 +218,7 @@
 
     def _close_when_idle(self) -> None:
         # The relay ends idle connections; a call on which it does so would have an unknown outcome.
-        self._idle_timer.start(self._limits.call_idle)
+        self._idle_timer.start(self._limits.call_idle_timeout_ms)
 
     def close_idle(self) -> None:
         """Closes the connection, unless a call is in progress on it."""
@@ -244,7 +244,7 @@
 
     def _send(self, connection: Connection) -> None:
         orders = self.queue.take_batch(
-            self._limits.call_bytes, self._max_orders_per_call, encoded_size
+            self._limits.max_call_bytes, self._max_orders_per_call, encoded_size
         )
         request_id = self.watch.next_request_id()
         self._idle_timer.cancel()
@@ -252,7 +252,7 @@
         self._event_loop.count("relay_calls")
         self._event_loop.count("relay_orders", len(orders))
         reply_deadline = self._event_loop.after(
-            self._limits.call_answer, lambda: self._close_connection(CloseReason.SILENT)
+            self._limits.call_timeout_ms, lambda: self._close_connection(CloseReason.SILENT)
         )
         self.call = CallInProgress(request_id, orders, sent_ms, reply_deadline)
         connection.write(encode_call(request_id, Method.APPLY, list(orders.values())))
@@ -263,7 +263,7 @@
             self.channel.available()
         elif not self.channel.is_available and not self._recovery_timer.running:
             # Proxies that connect meanwhile are reported on other connections.
-            self._recovery_timer.start(self._limits.news_settle)
+            self._recovery_timer.start(self._limits.relay_settle_ms)
 
     def _try_recovery(self) -> None:
         """Orders leave again once the proxies that connect meanwhile are counted."""
@@ -277,7 +277,10 @@
         if last_ms is None:
             return self.channel.state is not ChannelState.STARTING
         waited_ms = now_ms - self.channel.unavailable_since_ms
-        return now_ms - last_ms > self._limits.news_settle or waited_ms > self._limits.joining
+        return (
+            now_ms - last_ms > self._limits.relay_settle_ms
+            or waited_ms > self._limits.max_proxy_connect_wait_ms
+        )
 
     def _pause(self, reason: str) -> None:
         """Retries with backoff."""
@@ -317,7 +320,7 @@
             self._applied(call, result.order_count)
 
     def _end_call(self, call: CallInProgress, outcome: str) -> None:
-        self._event_loop.drop(call.reply_deadline)
+        self._event_loop.cancel(call.reply_deadline)
         self._event_loop.count(f"relay_{outcome}")
         self.call = None
         for slice_id in changed_slices(call.orders):
@@ -375,7 +378,7 @@
         self._event_loop.log("call_unknown", why=reason, orders=len(orders))
         if changed_slices(orders):
             self.channel.call_unresolved(reason, len(self.queue))
-        self.unresolved.begin(orders, call.sent_ms + self._limits.call_answer)
+        self.unresolved.begin(orders, call.sent_ms + self._limits.call_timeout_ms)
 
     def _carried_out(self, orders: list[RelayOrder]) -> None:
         for order in orders:
--- a/havendyke/net/relay_stream.py
+++ b/havendyke/net/relay_stream.py
@@ -115,7 +115,7 @@
 
     def opened(self, connection: Connection) -> None:
         """The connection is up: asks for the watch."""
-        self._parser = LineParser(connection.buffer, self._event_loop.limits.message)
+        self._parser = LineParser(connection.buffer, self._event_loop.limits.max_message_bytes)
         self.requested_ms = self._event_loop.now()
         connection.write(encode_call(self._owner.next_request_id(), Method.WATCH))
 
@@ -139,7 +139,9 @@
     def _expect_message(self) -> None:
         limits = self._event_loop.limits
         # A snapshot stream has one deadline for all of it.
-        wait_ms = limits.news_silence if self.is_watch else limits.look
+        wait_ms = (
+            limits.relay_watch_silence_timeout_ms if self.is_watch else limits.snapshot_timeout_ms
+        )
         self._silence_timer.start(wait_ms)
 
     def _take(self, message: dict[str, Any]) -> None:
@@ -243,7 +245,7 @@
             self.assigned_ms.get(slice_id, LONG_AGO_MS),
             self._late_entry_ms.get(slice_id, LONG_AGO_MS),
         )
-        return self._event_loop.now() - last_ms > self._event_loop.limits.late_row
+        return self._event_loop.now() - last_ms > self._event_loop.limits.late_entry_window_ms
 
     def _reopen_table(self, slice_id: int, known: Table) -> None:
         """Goes on with the known table, as if the slice had been assigned again with it."""
@@ -253,7 +255,7 @@
         self.slices[slice_id] = after_arrival(self.slices[slice_id])
 
     def _await_completion(self) -> None:
-        self._completion_timer.start(self._event_loop.limits.news_settle)
+        self._completion_timer.start(self._event_loop.limits.relay_settle_ms)
 
     def _complete(self) -> None:
         if self.state is StreamState.REQUESTED:
--- a/havendyke/net/relay_watch.py
+++ b/havendyke/net/relay_watch.py
@@ -53,7 +53,9 @@
         self._last_request_id = 0
         # Changes may have been lost, since no stream was left that had them all.
         self._has_gap = False
-        self._backoff = Backoff(event_loop.limits.call_again, event_loop.limits.again_most)
+        self._backoff = Backoff(
+            event_loop.limits.min_relay_backoff_ms, event_loop.limits.max_backoff_ms
+        )
 
     def next_request_id(self) -> int:
         """The id of the next call to the relay, on any connection."""
@@ -131,7 +133,7 @@
 
     def _wanted_streams(self) -> int:
         synchronised = any(stream.is_synchronised for stream in self._streams_at_address())
-        return self.event_loop.limits.news_streams if synchronised else 1
+        return self.event_loop.limits.relay_watch_count if synchronised else 1
 
     def _synchronised(self) -> list[RelayStream]:
         return [stream for stream in self.streams if stream.is_synchronised]
@@ -166,12 +168,12 @@
             self._has_gap = True
         for slice_id, assigned_ms in stream.assigned_ms.items():
             # Entries of a table that it had begun to bring may be lost with it.
-            if self.event_loop.now() - assigned_ms < self.event_loop.limits.late_row:
+            if self.event_loop.now() - assigned_ms < self.event_loop.limits.late_entry_window_ms:
                 self.slices.verify(slice_id)
 
     def _has_witness(self, lost: RelayStream) -> bool:
         """Whether another stream has brought all that the lost one missed since its last bytes."""
-        overdue_ms = self.event_loop.now() - self.event_loop.limits.news_overdue
+        overdue_ms = self.event_loop.now() - self.event_loop.limits.relay_watch_overdue_ms
         return any(
             stream.requested_ms <= lost.last_received_ms and stream.last_received_ms >= overdue_ms
             for stream in self._synchronised()
@@ -211,7 +213,7 @@
         self._backoff.reset()
         self.start()
         # A pause within what stands looks like its end; the old streams bridge it.
-        self.event_loop.after(self.event_loop.limits.overlap, self._close_moved_streams)
+        self.event_loop.after(self.event_loop.limits.address_overlap_ms, self._close_moved_streams)
         self.event_loop.log(
             "watch_synchronised",
             streams=len(self._synchronised()),
--- a/havendyke/net/timer.py
+++ b/havendyke/net/timer.py
@@ -23,13 +23,13 @@
 
     def start(self, delay_ms: float) -> None:
         """Starts the timer, from now on where it runs already."""
-        self._event_loop.drop(self._deadline)
+        self._event_loop.cancel(self._deadline)
         self._deadline = self._event_loop.after(delay_ms, self._expire)
         self.at_ms = self._deadline.at_ms
 
     def cancel(self) -> None:
         """Stops the timer; one that does not run stays so."""
-        self._event_loop.drop(self._deadline)
+        self._event_loop.cancel(self._deadline)
         self._deadline = None
 
     def _expire(self) -> None:
--- a/havendyke/net/unresolved_call.py
+++ b/havendyke/net/unresolved_call.py
@@ -58,7 +58,7 @@
     def end(self) -> None:
         """Nothing more is to be found out."""
         self.ended = True
-        self._event_loop.drop(self._deadline)
+        self._event_loop.cancel(self._deadline)
 
 
 class UnresolvedCall:
@@ -74,7 +74,7 @@
         self._watch = watch
         self._owner = owner
         self._pending: PendingCall | None = None
-        ack_ms = event_loop.limits.mark_answer
+        ack_ms = event_loop.limits.push_ack_wait_ms
         self._retry_backoff = Backoff(ack_ms, 4 * ack_ms)
         self._newest_nonce: int | None = None
         self._acknowledged_nonces: deque[int] = deque(maxlen=MAX_ACKNOWLEDGED_NONCES)
@@ -162,7 +162,7 @@
         if carried_out and isinstance(request, AcknowledgementOrder):
             # Tables that were the same before would match as well: only an acknowledgement proves
             # that the push has left.
-            wait_ms = 2 * self._event_loop.limits.mark_answer
+            wait_ms = 2 * self._event_loop.limits.push_ack_wait_ms
             self._event_loop.after(wait_ms, lambda: self._expect_acknowledgement(request))
         self._owner.send_next()
 
--- a/havendyke/net/wire_endpoint_list.py
+++ b/havendyke/net/wire_endpoint_list.py
@@ -74,7 +74,7 @@
     ) -> None:
         """`wall_offset_ms()`: what to add to Unix milliseconds to get the clock's."""
         self._registry = registry
-        self._max_size = config.limits.report_most
+        self._max_size = config.limits.max_reported_value
         self.wall_offset_ms = wall_offset_ms
         self._now_ms = now_ms
         self.zones = {name: k for k, name in enumerate(config.wire_names.zones)}
--- a/havendyke/net/wire_relay.py
+++ b/havendyke/net/wire_relay.py
@@ -206,7 +206,7 @@
         """A proxy's answer to a push."""
         nonce: int = read_field(params, "version", int)
         latency_ms: float = read_field(params, "lag_ms", NUMBER_TYPES, 0.0)
-        if not 0 <= nonce < NONCE_LIMIT or not 0 <= latency_ms < self._limits.report_most:
+        if not 0 <= nonce < NONCE_LIMIT or not 0 <= latency_ms < self._limits.max_reported_value:
             quoted = str(params)[:MAX_QUOTED_MESSAGE_CHARS]
             raise FieldError(f"field 'version' or 'lag_ms' is out of range: {quoted}")
         return Acknowledgement(nonce, latency_ms)
@@ -222,7 +222,7 @@
         return TableEntry(server_id, self._weight(params))
 
     def _weight(self, params: dict[str, Any], default: Any = ...) -> float:
-        weight: float = read_number(params, "share", default, 0.0, self._limits.report_most)
+        weight: float = read_number(params, "share", default, 0.0, self._limits.max_reported_value)
         return weight
 
     def relay_order(self, order: core.Order) -> RelayOrder | None:
--- a/havendyke/net/wire_reports.py
+++ b/havendyke/net/wire_reports.py
@@ -63,7 +63,7 @@
         read_choice(fields, "az", self._zones)
         return fields["az"]
 
-    def report(
+    def decode(
         self, parts: Sequence[Part | None]
     ) -> core.ServerLoadReport | core.SliceLoadReport | None:
         """The report of a message; None where it is about an unknown server or slice.
@@ -79,8 +79,8 @@
         raise FieldError(f"kind '{decode_text(kind)[:MAX_QUOTED_KIND_CHARS]}' is unknown")
 
     def _server_report(self, fields: TextFields) -> core.ServerLoadReport | None:
-        maximum = self._limits.report_most
-        attempts = parse_count(fields, "n", self._limits.report_count)
+        maximum = self._limits.max_reported_value
+        attempts = parse_count(fields, "n", self._limits.max_report_requests)
         failures = parse_count(fields, "bad", attempts)
         window_ms = self._window_ms(fields)
         zone: int = read_choice(fields, "az", self._zones)
@@ -94,9 +94,9 @@
         return core.ServerLoadReport(server, zone, attempts, failures, latency_ms, window_ms, load)
 
     def _slice_report(self, fields: TextFields) -> core.SliceLoadReport | None:
-        requests = parse_count(fields, "n", self._limits.report_count)
+        requests = parse_count(fields, "n", self._limits.max_report_requests)
         # Failures may be of requests that came in an earlier window, so they may be more.
-        failures = parse_count(fields, "bad", self._limits.report_count)
+        failures = parse_count(fields, "bad", self._limits.max_report_requests)
         window_ms = self._window_ms(fields)
         request_class: int = read_choice(fields, "kind", self._request_classes)
         slice_ = self._registry.slices.get(parse_count(fields, "partition", self._max_slice_id))
@@ -105,4 +105,6 @@
         return core.SliceLoadReport(slice_, request_class, requests, failures, window_ms)
 
     def _window_ms(self, fields: TextFields) -> float:
-        return parse_number(read_field(fields, "window", str), "window", self._limits.report_most)
+        return parse_number(
+            read_field(fields, "window", str), "window", self._limits.max_reported_value
+        )
--- a/havendyke/process.py
+++ b/havendyke/process.py
@@ -5,7 +5,7 @@
 import signal
 from typing import NoReturn
 
-from .config import Config, ConfigError, load
+from .config import Config, ConfigError, load_config
 from .net.assigner import Assigner
 from .net.event_loop import EventLoop
 from .net.listener import listen
@@ -37,7 +37,9 @@
         self._operator_settings = operator_settings
         self._operator_path = operator_path
         limits = config.limits
-        log = EventLog(EventLoop.now, limits.log_lines, limits.log_alike)
+        log = EventLog(
+            EventLoop.now, limits.max_log_lines_per_s, limits.max_log_lines_per_event_per_s
+        )
         self._event_loop = EventLoop(limits, log)
         try:
             self._durable = None if check_only else open_durable_state(operator_settings, log)
@@ -83,7 +85,7 @@
         """
         try:
             operator_settings = read_operator_file(self._operator_path)
-            config = load(dict(os.environ), self._config_path, reloading=True)
+            config = load_config(dict(os.environ), self._config_path, reloading=True)
         except ConfigError as error:
             self._event_loop.count("reloads_refused")
             self._event_loop.log("reload_refused", cause=str(error)[:MAX_LOGGED_CAUSE_CHARS])
--- a/havendyke/start.py
+++ b/havendyke/start.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from .commands import RUN, command_summary
-from .config import Config, ConfigError, load
+from .config import Config, ConfigError, load_config
 from .operator_file import OperatorSettings, read_operator_file
 from .process import AssignerProcess
 from .signals import EarlySignals, ignore_unused_signals
@@ -72,7 +72,7 @@
     if not options.check:
         early_signals.install()
     try:
-        config = load(dict(os.environ), options.config)
+        config = load_config(dict(os.environ), options.config)
         operator_settings = read_operator_file(options.operator)
         asyncio.run(_check_or_run(config, operator_settings, options, early_signals))
     except ConfigError as error:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -70,7 +70,7 @@
 
 def make_assigner(**limits):
     """An assigner on a hub of the test's own, its discovery and relay not yet up."""
-    hub = FakeEventLoop(**{"news_streams": 1} | limits)  # a test opens further ones itself
+    hub = FakeEventLoop(**{"relay_watch_count": 1} | limits)  # a test opens further ones itself
     return Assigner(
         config.read_config(raw_config(known=complete_list("s1", "s2", "s3")), {}), hub
     ), hub
@@ -123,7 +123,7 @@
     return [
         c
         for c in hub.made
-        if c.peer.name == "relay_watch" and c.peer.purpose is StreamPurpose.SNAPSHOT and not c.over
+        if c.peer.name == "relay_watch" and c.peer.purpose is StreamPurpose.SNAPSHOT and not c.ended
     ][-1]
 
 
--- a/tests/net/test_assigner.py
+++ b/tests/net/test_assigner.py
@@ -89,13 +89,13 @@
     "name, junk", [("relay_watch", b'{"method": "pi'), ("discovery", b"HTTP/1.1 200 OK\r\nX-")]
 )
 def test_bytes_that_never_make_a_message_are_silence(name, junk):
-    assigner, hub = make_assigner(discovery_streams=1)
+    assigner, hub = make_assigner(discovery_watch_count=1)
     suspend_reconciliation(assigner).relay.watch.start()
     assigner.discovery.open_watches()
     connection = hub.open(name)
     feed(connection, junk)
     for _ in range(30):
         hub.pass_time(100)
-        if not connection.over:
+        if not connection.ended:
             feed(connection, b"x")
-    assert connection.over
+    assert connection.ended
--- a/tests/net/test_collectors.py
+++ b/tests/net/test_collectors.py
@@ -80,7 +80,7 @@
     )
     assert (shard.slice.id, shard.request_class, shard.requests) == (4, 1, 40)
     hub.pass_time(15_000)
-    assert connection.transport.written == b"" and not connection.over
+    assert connection.transport.written == b"" and not connection.ended
     feed(connection, encode("PING"))
     assert connection.transport.written == b"*1\r\n$4\r\nPONG\r\n"
 
@@ -95,7 +95,7 @@
     feed(connection, encode("SOURCE", "az", "a") + encode(*parts))
     assert (
         take_pending_events(assigner) == []
-        and not connection.over
+        and not connection.ended
         and hub.counters["reports_unknown"] == 1
     )
 
@@ -127,7 +127,7 @@
     assert [type(e).__name__ for e in take_pending_events(assigner)] == [
         "ServerLoadReport",
         "SliceLoadReport",
-    ] and not connection.over
+    ] and not connection.ended
     assert hub.counters["bad_reports"] == 1
 
 
@@ -156,7 +156,7 @@
     stranger, good = connect_client(assigner), connect_client(assigner)
     feed(good, encode("SOURCE", "az", "a"))
     feed(stranger, sends + encode("SOURCE", "az", "a"))
-    assert stranger.over and not good.over and take_pending_events(assigner) == []
+    assert stranger.ended and not good.ended and take_pending_events(assigner) == []
     assert stranger.transport.written in (b"", encode("NACK"))
 
 
@@ -167,9 +167,9 @@
     feed(stranger, sends)
     for _ in range(15):
         hub.pass_time(100)
-        if not stranger.over:
+        if not stranger.ended:
             feed(stranger, sends)
-    assert stranger.over and len(hub.slots) == 0
+    assert stranger.ended and len(hub.slots) == 0
 
 
 def test_a_half_open_collector_gives_up_its_place():
@@ -180,24 +180,24 @@
     for _ in range(60):
         hub.pass_time(1000)
         feed(good, encode(*SHARD))
-    assert half.over and not good.over
+    assert half.ended and not good.ended
 
 
 def test_unidentified_clients_are_closed_and_never_keep_collectors_out():
-    assigner, hub = make_assigner(callers=3, slots=4)
+    assigner, hub = make_assigner(max_clients=3, max_connections=4)
     collector = connect_client(suspend_reconciliation(assigner))
     feed(collector, encode("SOURCE", "az", "a"))
     strangers = [connect_client(assigner) for _ in range(5)]
     late = connect_client(assigner)
     feed(late, encode("SOURCE", "az", "b"))
-    assert not collector.over and not late.over and [s.over for s in strangers].count(False) == 1
+    assert not collector.ended and not late.ended and [s.ended for s in strangers].count(False) == 1
     hub.pass_time(1600)
-    assert all(s.over for s in strangers) and not collector.over
+    assert all(s.ended for s in strangers) and not collector.ended
 
 
 def test_many_unidentified_clients_at_once_are_kept_within_the_limit():
     # The loop accepts a whole backlog before the first of them is up: all were let in.
-    assigner, hub = make_assigner(callers=8, slots=100)
+    assigner, hub = make_assigner(max_clients=8, max_connections=100)
     made = [assigner.collectors.accept() for _ in range(50)]
     for connection in made:
         connection.connection_made(StubTransport())
@@ -210,6 +210,6 @@
     assigner, hub = make_assigner()
     take_pending_events(suspend_reconciliation(assigner))
     collector = connect_client(assigner)
-    padding = "x" * (2 * hub.limits.stranger_message)
+    padding = "x" * (2 * hub.limits.max_unidentified_message_bytes)
     feed(collector, encode("SOURCE", "az", "a") + encode(*LOAD, "padding", padding))
-    assert len(take_pending_events(assigner, core.ServerLoadReport)) == 1 and not collector.over
+    assert len(take_pending_events(assigner, core.ServerLoadReport)) == 1 and not collector.ended
--- a/tests/net/test_crossing_start.py
+++ b/tests/net/test_crossing_start.py
@@ -31,11 +31,11 @@
     HOLD
     + """
 import havendyke.config as module
-load = module.load
+load_config = module.load_config
 def held(environ, path=None, reloading=False):
-    made = load(environ, path, reloading)
+    made = load_config(environ, path, reloading)
     return made if reloading else hold(made)
-module.load = held
+module.load_config = held
 """
 )
 AT_FIRST_TURN = (
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -16,7 +16,9 @@
 
 def open_queries(hub, follow):
     return [
-        c for c in hub.made if c.peer.name == "discovery" and c.peer.follow == follow and not c.over
+        c
+        for c in hub.made
+        if c.peer.name == "discovery" and c.peer.follow == follow and not c.ended
     ]
 
 
@@ -34,14 +36,14 @@
     feed(two, b"1\r\n\n\r\n")
     events = take_pending_events(assigner, core.EndpointListUpdate)
     assert [(e.scope, len(e.entries)) for e in events][-2:] == [("complete", 2), ("changes", 1)]
-    assert events[-1].entries[0].state == "draining" and whole.over and len(events) == 3
+    assert events[-1].entries[0].state == "draining" and whole.ended and len(events) == 3
 
 
 @pytest.mark.parametrize(
     "malformed", [{"state": "odd"}, {"uid": 5}, {"boot_ms": -1}, {"capacity_hint": 1e99}]
 )
 def test_a_malformed_entry_costs_neither_the_others_nor_its_server(malformed):
-    assigner, hub = make_assigner(discovery_streams=1)
+    assigner, hub = make_assigner(discovery_watch_count=1)
     suspend_reconciliation(assigner).discovery.open_watches()
     take_pending_events(assigner)
     change = {
@@ -88,6 +90,6 @@
     take_pending_events(assigner)
     connection = hub.open("discovery")
     feed(connection, bad)
-    assert connection.over and take_pending_events(assigner) == []
+    assert connection.ended and take_pending_events(assigner) == []
     hub.pass_time(400)
     assert len(open_queries(hub, True)) == 2
--- a/tests/net/test_event_loop.py
+++ b/tests/net/test_event_loop.py
@@ -36,18 +36,18 @@
 
 
 def test_a_message_over_the_limit_ends_its_connection_only():
-    assigner, hub = make_assigner(message=4096, buffer=64)
+    assigner, hub = make_assigner(max_message_bytes=4096, initial_buffer_bytes=64)
     bad, good = connect_client(suspend_reconciliation(assigner)), connect_client(assigner)
     feed(bad, b"*2\r\n$3000\r\n" + b"x" * 3000 + b"\r\n$2000\r\n" + b"x" * 2000)
     feed(good, encode("PING"))
-    assert bad.over and good.transport.written and hub.counters["bad_messages"] == 1
+    assert bad.ended and good.transport.written and hub.counters["bad_messages"] == 1
 
 
 def test_a_full_table_turns_newcomers_away():
-    assigner, hub = make_assigner(slots=1)
+    assigner, hub = make_assigner(max_connections=1)
     connect_client(suspend_reconciliation(assigner))
     late = connect_client(assigner)
-    assert late.over and hub.counters["slots_full"] == 1 and len(hub.slots) == 1
+    assert late.ended and hub.counters["slots_full"] == 1 and len(hub.slots) == 1
     assigner.relay.order([weight_order(1, "s1")])
     assigner.discovery.start()
     assigner.relay.watch.start()
@@ -56,4 +56,4 @@
         "gone"
     )
     hub.pass_time(1000)
-    assert any(isinstance(c, Connection) and not c.over for c in hub.made)
+    assert any(isinstance(c, Connection) and not c.ended for c in hub.made)
--- a/tests/net/test_health_checks.py
+++ b/tests/net/test_health_checks.py
@@ -59,7 +59,11 @@
     outcome, act = ENDINGS[case]
     act(connection, hub)
     (event,) = take_pending_events(assigner)
-    assert (event.outcome, connection.over, assigner.health_checker.in_flight) == (outcome, True, 0)
+    assert (event.outcome, connection.ended, assigner.health_checker.in_flight) == (
+        outcome,
+        True,
+        0,
+    )
     assert event.load == (
         core.ServerLoad(in_flight=7.0)
         if outcome is core.HealthCheckOutcome.PASSED
@@ -70,7 +74,7 @@
 def test_a_check_beyond_the_limit_waits_for_another_to_end():
     # 200 servers were asked at one look with room for 64: the rest was never answered, nor asked
     # again for 2 s.
-    assigner, hub = make_assigner(probes_open=2)
+    assigner, hub = make_assigner(max_health_checks=2)
     for name in ("s1", "s2", "s3", "s3"):
         assigner.health_checker.check(assigner.registry.servers[name])
     assert assigner.health_checker.in_flight == 2 and len(hub.made) == 2
--- a/tests/net/test_list_checks.py
+++ b/tests/net/test_list_checks.py
@@ -117,7 +117,7 @@
             + chunk(b"\n" + orjson.dumps(changes(9, listed_server("s1"))) + b"\n")
             + drain(9),
         )
-        assert check.over and registry.events() == []
+        assert check.ended and registry.events() == []
     assert not registry.wholes() and registry.count("closed_discovery_done") == 5
 
 
@@ -125,7 +125,7 @@
     registry = Registry(LARGE)
     check = registry.check()
     feed_bytes(check, CHUNKED + drain(4))
-    assert check.over and registry.events() == [("changes", 1)] and registry.discovery.version == 4
+    assert check.ended and registry.events() == [("changes", 1)] and registry.discovery.version == 4
     registry.pass_time(150, step=50)
     assert registry.count("watches_stale") == 1 and not registry.wholes()[0].peer.may_reveal_restart
     registry.answer_whole(LARGE, rev=4)
@@ -184,7 +184,7 @@
     registry.answer_whole(LARGE, rev=3)  # its new start
     registry.events()
     feed_bytes(check, CHUNKED + drain(52))
-    assert check.over and registry.events() == [] and registry.discovery.version == 3
+    assert check.ended and registry.events() == [] and registry.discovery.version == 3
 
 
 def test_after_a_new_start_at_lower_versions_held_back_news_are_seen():
@@ -233,10 +233,10 @@
     for ending in (FAILURES[failure], answered(CHUNKED + EMPTY), FAILURES[failure]):
         check = registry.check()
         ending(registry, check)
-        assert check.over and not registry.wholes() and not registry.discovery.unreachable
+        assert check.ended and not registry.wholes() and not registry.discovery.unreachable
     check = registry.check()
     FAILURES[failure](registry, check)
-    assert check.over and not registry.wholes()[0].peer.may_reveal_restart
+    assert check.ended and not registry.wholes()[0].peer.may_reveal_restart
     assert (
         registry.events() == []
         and registry.logged("discovery_lost") == 0
@@ -269,7 +269,7 @@
 
 
 def test_two_checks_are_never_under_way():
-    registry = Registry(LARGE, discovery_check=500.0, discovery_bytes_per_s=1000.0)
+    registry = Registry(LARGE, discovery_check_interval_ms=500.0, discovery_bytes_per_s=1000.0)
     for _ in range(25):
         registry.pass_time(250)
         assert len(registry.checks()) <= 1
@@ -288,8 +288,8 @@
 def test_a_check_ends_with_a_move_and_goes_on_at_the_new_address():
     registry = Registry(LARGE)
     check = registry.check()
-    registry.discovery.move(("127.0.0.2", 8500))
-    assert check.over and not registry.checks() and registry.discovery.failed_checks == 0
+    registry.discovery.set_address(("127.0.0.2", 8500))
+    assert check.ended and not registry.checks() and registry.discovery.failed_checks == 0
     registry.answer_whole(LARGE)
     registry.grant_watches()
     assert registry.check().address == ("127.0.0.2", 8500)
@@ -325,9 +325,9 @@
 def test_the_bound_and_the_period_are_those_of_the_budget():
     pace = CompleteListPace(Limits(), 7)
     for size, affordable in ((0, True), (BOUND, True), (BOUND + 1, False)):
-        pace.taken(size, 0.0)
+        pace.record_list(size, 0.0)
         assert pace.affordable() == affordable == pace.due(1.0)
-    pace.taken(862_000, 0.0)
+    pace.record_list(862_000, 0.0)
     assert round(pace.period_ms()) == 663_077
     assert not pace.due(663_000.0) and pace.due(1.5 * 663_077)
 
@@ -335,7 +335,7 @@
 def test_assigners_draw_their_times_apart_and_each_the_same_again():
     def times(seed):
         pace = CompleteListPace(Limits(), seed)
-        return [(pace.taken(862_000, 0.0), pace.due_at_ms)[1] for _ in range(3)]
+        return [(pace.record_list(862_000, 0.0), pace.due_at_ms)[1] for _ in range(3)]
 
     drawn = [times(seed) for seed in range(780)]
     assert drawn == [times(seed) for seed in range(780)]
--- a/tests/net/test_relay_client.py
+++ b/tests/net/test_relay_client.py
@@ -60,7 +60,7 @@
 
 
 def test_rejected_calls_wait_and_the_controller_is_notified_once():
-    assigner, hub = make_assigner(again_most=50.0)
+    assigner, hub = make_assigner(max_backoff_ms=50.0)
     call = start_call(hub, suspend_reconciliation(assigner), weight_order(1, "s1"))
     for _ in range(3):
         feed(call, [{"id": sent_orders(call)[1], "error": {"code": -1, "message": "BUSY"}}])
@@ -120,7 +120,7 @@
 
 
 def test_an_unreadable_order_is_found_by_halving_and_left_out():
-    assigner, hub = make_assigner(again_most=50.0)
+    assigner, hub = make_assigner(max_backoff_ms=50.0)
     call = start_call(
         hub, suspend_reconciliation(assigner), *[weight_order(k, "s1") for k in range(4)]
     )
@@ -191,7 +191,7 @@
     assert [o.get("host") for o in sent_orders(again)[0][-1]] == (
         ["s3"] if carried else ["s2", "s1", None, "s3"]
     )
-    assert snapshot.over and not assigner.relay.unresolved.is_pending
+    assert snapshot.ended and not assigner.relay.unresolved.is_pending
     feed(
         again, [{"id": sent_orders(again)[1], "result": {"taken": len(sent_orders(again)[0][-1])}}]
     )
@@ -308,7 +308,7 @@
 
 
 def test_orders_beyond_the_limit_of_a_call_follow_in_order():
-    assigner, hub = make_assigner(call_bytes=100)
+    assigner, hub = make_assigner(max_call_bytes=100)
     call = start_call(
         hub, suspend_reconciliation(assigner), *[weight_order(k, "s1") for k in range(8)]
     )
@@ -331,9 +331,9 @@
             {"id": 3},
         ],
     )
-    assert not call.over and assigner.relay.call is None
+    assert not call.ended and assigner.relay.call is None
     hub.pass_time(1600)
-    assert call.over and assigner.relay.connection is None
+    assert call.ended and assigner.relay.connection is None
 
 
 def test_orders_from_before_a_new_assignment_are_dropped():
@@ -365,4 +365,4 @@
     open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
     call = start_call(hub, assigner, weight_order(4, "s2"), weight_order(4, "s1", 0.0))
     feed(call, [{"id": sent_orders(call)[1], **invalid}])
-    assert call.over and assigner.relay.unresolved.orders and not assigner.relay.queue.orders
+    assert call.ended and assigner.relay.unresolved.orders and not assigner.relay.queue.orders
--- a/tests/net/test_relay_watch.py
+++ b/tests/net/test_relay_watch.py
@@ -36,15 +36,15 @@
 
 @pytest.mark.parametrize("seconds", [3, 30])
 def test_the_number_of_connections_is_bounded_while_the_relay_is_silent(seconds):
-    assigner, hub = make_assigner(news_streams=2)
+    assigner, hub = make_assigner(relay_watch_count=2)
     suspend_reconciliation(assigner).relay.watch.start()
     assigner.relay.order([weight_order(1, "s1")])
     for _ in range(10 * seconds):
         for c in hub.made:
-            if c.transport is None and not c.over:
+            if c.transport is None and not c.ended:
                 hub.open(c.peer.name)
         hub.pass_time(100)
-    assert len([c for c in hub.made if not c.over]) <= 4 and len(hub.made) < 5 + 2 * seconds
+    assert len([c for c in hub.made if not c.ended]) <= 4 and len(hub.made) < 5 + 2 * seconds
 
 
 def test_a_change_on_two_streams_is_reported_once():
@@ -58,7 +58,7 @@
         "SliceAssignment",
         "SnapshotEntry",
     ]
-    one, two = [c for c in hub.made if not c.over]
+    one, two = [c for c in hub.made if not c.ended]
     feed(two, [PROXY_DISCONNECTED, PROXY_CONNECTED, PUSH_ACKNOWLEDGED])
     feed(one, [PROXY_DISCONNECTED, PROXY_CONNECTED, PUSH_ACKNOWLEDGED, PROXY_DISCONNECTED])
     feed(two, [PROXY_DISCONNECTED])
@@ -118,7 +118,7 @@
     if not witness:
         feed(hub.open("relay_watch"), [SUCCESS_REPLY, PROXY_CONNECTED])
     hub.pass_time(100)
-    assert one.over and two.over != witness
+    assert one.ended and two.ended != witness
     assert [type(e).__name__ for e in take_pending_events(assigner)] == (
         [] if witness else ["ProxyDisconnected", "ProxyConnected"]
     )
@@ -170,7 +170,7 @@
     feed(hub.open("relay_watch"), [{"method": "ACK", "params": invalid}, PUSH_ACKNOWLEDGED])
     assert [(e.proxy.id, e.nonce) for e in take_pending_events(assigner)] == [
         (1, 7)
-    ] and not hub.open("relay_watch").over
+    ] and not hub.open("relay_watch").ended
 
 
 @pytest.mark.parametrize(
@@ -188,7 +188,7 @@
     open_watch_stream(suspend_reconciliation(assigner), hub, PROXY_CONNECTED)
     connection = hub.open("relay_watch")
     feed(connection, [bad])
-    assert connection.over and hub.counters["bad_messages"] == 1
+    assert connection.ended and hub.counters["bad_messages"] == 1
     assert (
         f"'{field}'" in [more["field"] for event, more in hub.logged if event == "bad_message"][0]
     )
@@ -199,7 +199,7 @@
     assigner, hub = make_assigner()
     suspend_reconciliation(assigner).relay.watch.start()
     for _ in range(200):
-        if any(c.peer.name == "relay_watch" and not c.over for c in hub.made):
+        if any(c.peer.name == "relay_watch" and not c.ended for c in hub.made):
             feed(
                 hub.open("relay_watch"),
                 [{"method": "GRANT", "params": {"partition": 1, "yes": "odd"}}],
@@ -224,7 +224,7 @@
     open_watch_stream(suspend_reconciliation(assigner), hub)
     take_pending_events(assigner)
     feed(hub.open("relay_watch"), [news])
-    assert take_pending_events(assigner) == [] and not hub.open("relay_watch").over
+    assert take_pending_events(assigner) == [] and not hub.open("relay_watch").ended
 
 
 def test_a_notification_whose_method_is_no_word_is_a_bad_message():
@@ -232,5 +232,5 @@
     open_watch_stream(suspend_reconciliation(assigner), hub)
     connection = hub.open("relay_watch")
     feed(connection, [{"method": ["SUBSCRIBE"]}])
-    assert connection.over and hub.counters.get("bad_messages") == 1
+    assert connection.ended and hub.counters.get("bad_messages") == 1
     assert hub.counters.get("failures", 0) == 0
--- a/tests/test_cold_figures.py
+++ b/tests/test_cold_figures.py
@@ -30,7 +30,9 @@
 
 
 def read(wire_settings):
-    return config.read(orjson.dumps(raw_config(settings=wire_settings)), "a test", {}).settings
+    return config.parse_config(
+        orjson.dumps(raw_config(settings=wire_settings)), "a test", {}
+    ).settings
 
 
 @pytest.mark.parametrize(
@@ -110,7 +112,7 @@
 
 @pytest.mark.parametrize("boot", [-1, "5500", [], True])
 def test_an_invalid_start_time_costs_only_its_entry_and_is_named(boot):
-    assigner, hub = make_assigner(discovery_streams=1)
+    assigner, hub = make_assigner(discovery_watch_count=1)
     suspend_reconciliation(assigner).discovery.open_watches()
     take_pending_events(assigner)
     targets = [
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,7 +9,7 @@
 from helpers import SETTINGS, complete_list, raw_config
 
 from havendyke.__main__ import main
-from havendyke.config import ConfigError, load, read
+from havendyke.config import ConfigError, load_config, parse_config
 from havendyke.net.resp import encode
 
 
@@ -51,7 +51,7 @@
 )
 def test_an_error_names_the_wrong_key(tmp_path, raw, environ, key):
     with pytest.raises(ConfigError, match=key):
-        load({"ROUTER_CONFIG": written(tmp_path, raw), **environ})
+        load_config({"ROUTER_CONFIG": written(tmp_path, raw), **environ})
 
 
 @pytest.mark.parametrize("environ", [{}, {"ROUTER_CONFIG": "/nonexistent/config.json"}])
@@ -97,7 +97,7 @@
         settings=SETTINGS | {"familyInfo": family} | told,
         known=complete_list(*(f"s{k}" for k in range(3000))),
     )
-    config = load({"ROUTER_CONFIG": written(tmp_path, raw)})
+    config = load_config({"ROUTER_CONFIG": written(tmp_path, raw)})
     assert (
         config.settings.controller_count,
         config.settings.slice_count,
@@ -112,7 +112,7 @@
 
 @pytest.mark.parametrize("sockets", [48, 128, 1024, 65536])
 def test_limits_leave_descriptors_and_memory_free(tmp_path, sockets):
-    config = load(
+    config = load_config(
         {
             "ROUTER_CONFIG": written(
                 tmp_path, raw_config(limits={"sockets": sockets, "memory_mb": 64})
@@ -120,9 +120,13 @@
         }
     )
     limits = config.limits
-    assert limits.probes_open <= limits.slots / 4 and (sockets < 1024 or limits.probes_open >= 240)
+    assert limits.max_health_checks <= limits.max_connections / 4 and (
+        sockets < 1024 or limits.max_health_checks >= 240
+    )
     assert (
-        limits.slots < sockets - 12 and 4 < limits.callers < limits.slots and limits.buffers <= 16e6
+        limits.max_connections < sockets - 12
+        and 4 < limits.max_clients < limits.max_connections
+        and limits.buffer_budget_bytes <= 16e6
     )
     assert (
         config.relay == ("127.0.0.1", 6400)
@@ -207,16 +211,18 @@
 )
 def test_an_error_names_the_key_that_is_out_of_bounds(raw, key):
     with pytest.raises(ConfigError, match=key):
-        read(json.dumps(raw_config(settings=raw)).encode(), "file", {})
+        parse_config(json.dumps(raw_config(settings=raw)).encode(), "file", {})
 
 
 @pytest.mark.parametrize("text", ["NaN", "Infinity", "-Infinity"])
 def test_a_number_that_is_not_finite_is_not_json(text):
     raw = json.dumps(raw_config()).replace("4000.0", text).encode()
     with pytest.raises(ConfigError, match="not JSON"):
-        read(raw, "file", {})
+        parse_config(raw, "file", {})
 
 
 def test_keys_that_nothing_reads_may_have_any_value():
     odd = settings(obligations={"drainGrace": "soon"}, worthBy=[], prices={"x": None})
-    read(json.dumps(raw_config(settings=odd, limits={"cores": "many"})).encode(), "file", {})
+    parse_config(
+        json.dumps(raw_config(settings=odd, limits={"cores": "many"})).encode(), "file", {}
+    )
--- a/tests/test_config_of_bf4fd60.py
+++ b/tests/test_config_of_bf4fd60.py
@@ -55,14 +55,14 @@
         "zones": made.zones,
         "kinds": made.machine_kinds,
         "classes": made.request_classes,
-        "reports": made.reports,
+        "reports": made.has_load_reports,
         "proxies": made.proxy_count,
     }
 
 
 def outcome(text, environ):
     try:
-        made = config.read(text.encode(), "file", environ)
+        made = config.parse_config(text.encode(), "file", environ)
     except config.ConfigError as error:
         return ["refused", str(error)]
     settings = [getattr(made.settings, field.name) for field in fields(made.settings)]
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -169,7 +169,7 @@
     not accepted."""
     raw = raw_config(settings=wire_settings, known=complete_list("s1", "s2", "s3"))
     try:
-        ready = config.read(orjson.dumps(raw), "a test", {})
+        ready = config.parse_config(orjson.dumps(raw), "a test", {})
     except config.ConfigError as error:
         return str(error)
     assigner = Assigner(ready, FakeEventLoop())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -70,7 +70,7 @@
 
 def at(hub, name, host):
     """The open connections of these peers at an address, brought up."""
-    made = [c for c in hub.made if c.peer.name == name and not c.over and c.address[0] == host]
+    made = [c for c in hub.made if c.peer.name == name and not c.ended and c.address[0] == host]
     for c in made:
         if c.transport is None:
             c.connection_made(Transport())
@@ -91,14 +91,14 @@
         )  # and again, in the middle of it
     reload(assigner)
     feed(old, [PUSH_ACKNOWLEDGED])
-    assert not old.over
+    assert not old.ended
     (new,) = at(hub, "relay_watch", "127.0.0.2")
     feed(new, [SUCCESS_REPLY, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY])
     hub.pass_time(100)
-    assert not old.over
+    assert not old.ended
     hub.pass_time(1000)
     hub.run()
-    assert [c for c in hub.made if c.peer.name == "relay_watch" and not c.over] == [new]
+    assert [c for c in hub.made if c.peer.name == "relay_watch" and not c.ended] == [new]
     assert [type(e).__name__ for e in take_pending_events(assigner)] == ["PushAcknowledged"]
     feed(new, [PROXY_DISCONNECTED])
     assert [type(e).__name__ for e in take_pending_events(assigner)] == ["ProxyDisconnected"]
@@ -132,7 +132,7 @@
         feed(old, [{"id": sent_orders(old)[1], "result": {"taken": 1}}])
     reload(assigner)
     relay.order([weight_order(2, "s1")])
-    assert old.over == (ends == "idle")
+    assert old.ended == (ends == "idle")
     if ends == "answered":
         feed(old, [{"id": sent_orders(old)[1], "result": {"taken": 1}}])
     elif ends == "broken":
@@ -140,13 +140,13 @@
         hub.pass_time(900)
     (new,) = at(hub, "relay", "127.0.0.2")
     hub.run()
-    assert old.over and [o["table"] for o in sent_orders(new)[0][-1]] == (
+    assert old.ended and [o["table"] for o in sent_orders(new)[0][-1]] == (
         [1, 2] if ends == "broken" else [2]
     )
 
 
 def test_the_watch_at_the_new_address_stands_before_the_old_ones_go():
-    assigner, hub = make_assigner(discovery_streams=1)
+    assigner, hub = make_assigner(discovery_watch_count=1)
     suspend_reconciliation(assigner).discovery.open_watches()
     (old,) = at(hub, "discovery", "127.0.0.1")
     feed(old, http_response({"rev": 3, "all": False, "targets": []}))
@@ -159,7 +159,7 @@
             {"rev": 4, "all": False, "targets": [listed_server("s1", "terminating")]}
         ).split(b"\r\n\r\n", 1)[1],
     )
-    assert len(take_pending_events(assigner, core.EndpointListUpdate)) == 1 and not old.over
+    assert len(take_pending_events(assigner, core.EndpointListUpdate)) == 1 and not old.ended
     feed(
         watch,
         http_response({"rev": 4, "all": False, "targets": [listed_server("s1", "terminating")]}),
@@ -168,7 +168,7 @@
     assert [e.scope for e in take_pending_events(assigner, core.EndpointListUpdate)] == ["complete"]
     hub.pass_time(600)
     hub.run()
-    assert old.over and not watch.over and assigner.discovery.queries == [watch.peer]
+    assert old.ended and not watch.ended and assigner.discovery.queries == [watch.peer]
 
 
 def test_what_waits_for_a_restart_is_said():
@@ -209,7 +209,7 @@
 
 @pytest.mark.parametrize("lost", ["before the look", "under the look"])
 def test_an_old_list_passed_over_beside_a_watch_is_taken_once_none_stands(lost):
-    assigner, hub = make_assigner(discovery_streams=1)
+    assigner, hub = make_assigner(discovery_watch_count=1)
     discovery = suspend_reconciliation(assigner).discovery
     discovery.open_watches()
     (watch,) = at(hub, "discovery", "127.0.0.1")
@@ -228,7 +228,7 @@
 
 
 def test_discovery_at_a_new_address_may_have_lower_versions_while_the_old_watch_stands():
-    assigner, hub = make_assigner(discovery_streams=1)
+    assigner, hub = make_assigner(discovery_watch_count=1)
     discovery = suspend_reconciliation(assigner).discovery
     discovery.open_watches()
     feed(
