--- a/havendyke/lab/peers.py
+++ b/havendyke/lab/peers.py
@@ -46,7 +46,7 @@
         self.delayed = None  # what is held up on its way, in order
 
     def establish(self):
-        if not self.connection.over:
+        if not self.connection.ended:
             self.connection.connection_made(
                 Transport(lambda: self.simulation.after(0.5, self.read_written), self.on_abort)
             )
@@ -65,7 +65,7 @@
     def send(self, data: bytes):
         if self.delayed is not None:
             self.delayed.append(data)
-        elif not self.silent and not self.connection.over:
+        elif not self.silent and not self.connection.ended:
             self.simulation.on_peer_data(self.connection, data)
             feed(self.connection, data)
 
@@ -125,7 +125,7 @@
         self.simulation.after(PING, self.ping)
 
     def open_watches(self) -> list:
-        self.watchers = [w for w in self.watchers if not w.connection.over]
+        self.watchers = [w for w in self.watchers if not w.connection.ended]
         return self.watchers
 
     def notify(self, method, to=None, **params):
@@ -267,7 +267,7 @@
         self.simulation.after(EMPTY, self.send_keepalive)
 
     def open_watches(self) -> list:
-        self.watchers = [w for w in self.watchers if not w.connection.over]
+        self.watchers = [w for w in self.watchers if not w.connection.ended]
         return self.watchers
 
     @staticmethod
@@ -372,7 +372,7 @@
         elif not (name == "health_checks" and self.health_check_reply == "absent"):
             peer = kind(self, connection)
             if kind is RelayPeer:
-                self.relay.peers = [p for p in self.relay.peers if not p.connection.over] + [peer]
+                self.relay.peers = [p for p in self.relay.peers if not p.connection.ended] + [peer]
             self.after(0.5, peer.establish)
 
     def answer_health_check(self, peer):
@@ -403,7 +403,7 @@
                 call()
                 self.event_loop.run()
         self.event_loop.time = end
-        self.event_loop.connections = [c for c in self.event_loop.connections if not c.over]
+        self.event_loop.connections = [c for c in self.event_loop.connections if not c.ended]
 
     def stall(self, ms: float):
         """The assigner alone does nothing meanwhile; then everything is late at once."""
@@ -412,11 +412,11 @@
     def connect_collector(self, zone: str | None):
         """A newcomer at the assigner's address; joined where a zone is named."""
         connection = self.assigner.collectors.accept()
-        if not connection.over:
+        if not connection.ended:
             connection.connection_made(Transport())
             if zone is not None:
                 feed(connection, encode("SOURCE", "az", zone))
-        self.clients = [c for c in self.clients if not c.over] + [connection]
+        self.clients = [c for c in self.clients if not c.ended] + [connection]
         return connection
 
     def disagreements(self) -> list:
--- a/havendyke/net/assigner.py
+++ b/havendyke/net/assigner.py
@@ -56,7 +56,9 @@
         self.event_loop = event_loop
         self.config = config
         self.registry = ObjectRegistry(config.settings, config.seed)
-        self.peer_codecs = PeerCodecs(config, self.registry, event_loop.wall, event_loop.now)
+        self.peer_codecs = PeerCodecs(
+            config, self.registry, event_loop.wall_offset_ms, event_loop.now
+        )
         self.relay = RelayClient(event_loop, config.relay, self.peer_codecs, self.notify)
         self.reconcile_pending = False
         self.timers_running = 0
@@ -67,7 +69,7 @@
             event_loop, config.discovery, self.peer_codecs, self.notify, list_version, config.seed
         )
         self.collectors = Collectors(event_loop, self.peer_codecs, self.notify)
-        path = "/stats" if config.wire_names.reports else "/health/live"
+        path = "/stats" if config.wire_names.has_load_reports else "/health/live"
         self.health_checker = HealthChecker(event_loop, self.peer_codecs, self.notify, path)
         self._fleet_summary = FleetSummary(event_loop, self.registry.controller)
 
@@ -88,7 +90,7 @@
         if config.relay != old.relay:
             self.relay.set_address(config.relay)
         if config.discovery != old.discovery:
-            self.discovery.move(config.discovery)
+            self.discovery.set_address(config.discovery)
         after_restart = [
             name
             for name in FIXED_AT_START
@@ -108,11 +110,11 @@
         Only the ids of those that were ejected are kept, at most `limits.forgotten`.
         """
         limits = self.event_loop.limits
-        departed = self.registry.forget_departed(limits.forgotten)
+        departed = self.registry.forget_departed(limits.max_remembered_ejections)
         self.peer_codecs.endpoint_list.forget(departed)
         self.health_checker.forget(departed)
         self.event_loop.count("servers_forgotten", len(departed))
-        self.event_loop.after(limits.sweep, self.forget_departed)
+        self.event_loop.after(limits.departed_sweep_interval_ms, self.forget_departed)
 
     def notify(self, event: Event) -> None:
         """Adds an event to the next reconciliation; called by peers and timers.
@@ -226,7 +228,7 @@
         timer_ids = [event.timer_id for event in failed if isinstance(event, TimerFired)]
         if not timer_ids and not self.timers_running:
             timer_ids = [RECONCILE_TIMER_ID]
-        delay_ms = self.event_loop.limits.turn_again
+        delay_ms = self.event_loop.limits.reconcile_retry_ms
         self.carry_out([StartTimer(timer_id, delay_ms) for timer_id in timer_ids])
         # The controller may regard orders as published that were never sent.
         self.relay.report_diverging_tables()
--- a/havendyke/net/relay_watch.py
+++ b/havendyke/net/relay_watch.py
@@ -54,7 +54,9 @@
         self._last_request_id = 0
         # Changes may have been missed, because all synchronised streams were lost.
         self._has_gap = False
-        self._backoff = Backoff(event_loop.limits.call_again, event_loop.limits.again_most)
+        self._backoff = Backoff(
+            event_loop.limits.min_relay_backoff_ms, event_loop.limits.max_backoff_ms
+        )
 
     def next_request_id(self) -> int:
         """The id of the next call to the relay, on any connection."""
@@ -133,7 +135,7 @@
 
     def _wanted_streams(self) -> int:
         has_synchronised = any(stream.is_synchronised for stream in self._streams_at_address())
-        return self.event_loop.limits.news_streams if has_synchronised else 1
+        return self.event_loop.limits.relay_watch_count if has_synchronised else 1
 
     def _synchronised_streams(self) -> list[RelayStream]:
         return [stream for stream in self.streams if stream.is_synchronised]
@@ -168,12 +170,12 @@
             self._has_gap = True
         for slice_id, assigned_ms in stream.assigned_ms.items():
             # Entries of a table that the stream had received in part may be lost.
-            if self.event_loop.now() - assigned_ms < self.event_loop.limits.late_row:
+            if self.event_loop.now() - assigned_ms < self.event_loop.limits.late_entry_window_ms:
                 self.slices.verify(slice_id)
 
     def _is_covered_by_another(self, lost: RelayStream) -> bool:
         """Whether another stream has received everything since the lost stream's last bytes."""
-        overdue_ms = self.event_loop.now() - self.event_loop.limits.news_overdue
+        overdue_ms = self.event_loop.now() - self.event_loop.limits.relay_watch_overdue_ms
         return any(
             stream.requested_ms <= lost.last_received_ms and stream.last_received_ms >= overdue_ms
             for stream in self._synchronised_streams()
@@ -214,7 +216,7 @@
         self.start()
         # A pause within the present state may have been mistaken for its end; until the rest has
         # arrived, the old streams stay open.
-        self.event_loop.after(self.event_loop.limits.overlap, self._close_moved_streams)
+        self.event_loop.after(self.event_loop.limits.address_overlap_ms, self._close_moved_streams)
         self.event_loop.log(
             "watch_synchronised",
             streams=len(self._synchronised_streams()),
--- a/havendyke/net/unresolved_call.py
+++ b/havendyke/net/unresolved_call.py
@@ -59,7 +59,7 @@
     def end(self) -> None:
         """The outcome no longer matters; cancels the timer."""
         self.ended = True
-        self._event_loop.drop(self._deadline)
+        self._event_loop.cancel(self._deadline)
 
 
 class UnresolvedCall:
@@ -75,7 +75,7 @@
         self._watch = watch
         self._owner = owner
         self._pending: PendingCall | None = None
-        ack_ms = event_loop.limits.mark_answer
+        ack_ms = event_loop.limits.push_ack_wait_ms
         self._retry_backoff = Backoff(ack_ms, 4 * ack_ms)
         self._newest_nonce: int | None = None
         self._acknowledged_nonces: deque[int] = deque(maxlen=MAX_ACKNOWLEDGED_NONCES)
@@ -163,7 +163,7 @@
         if carried_out and isinstance(request, AcknowledgementOrder):
             # Tables that already had these entries would match as well: only an acknowledgement
             # proves that the push was sent.
-            wait_ms = 2 * self._event_loop.limits.mark_answer
+            wait_ms = 2 * self._event_loop.limits.push_ack_wait_ms
             self._event_loop.after(wait_ms, lambda: self._expect_acknowledgement(request))
         self._owner.send_next()
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -74,7 +74,7 @@
 
 def make_assigner(**limits):
     """An assigner on its own event loop, before discovery and the relay have answered."""
-    event_loop = FakeEventLoop(**{"news_streams": 1} | limits)  # a test opens more itself
+    event_loop = FakeEventLoop(**{"relay_watch_count": 1} | limits)  # a test opens more itself
     return Assigner(
         config.read_config(raw_config(known=complete_list("s1", "s2", "s3")), {}), event_loop
     ), event_loop
@@ -127,7 +127,7 @@
     return [
         c
         for c in event_loop.connections
-        if c.peer.name == "relay_watch" and c.peer.purpose is StreamPurpose.SNAPSHOT and not c.over
+        if c.peer.name == "relay_watch" and c.peer.purpose is StreamPurpose.SNAPSHOT and not c.ended
     ][-1]
 
 
--- a/tests/net/test_assigner.py
+++ b/tests/net/test_assigner.py
@@ -99,13 +99,13 @@
     "peer, partial", [("relay_watch", b'{"method": "pi'), ("discovery", b"HTTP/1.1 200 OK\r\nX-")]
 )
 def test_bytes_that_never_complete_a_message_count_as_silence(peer, partial):
-    assigner, event_loop = make_assigner(discovery_streams=1)
+    assigner, event_loop = make_assigner(discovery_watch_count=1)
     suspend_reconciliation(assigner).relay.watch.start()
     assigner.discovery.open_watches()
     connection = event_loop.open(peer)
     feed(connection, partial)
     for _ in range(30):
         event_loop.run_for(100)
-        if not connection.over:
+        if not connection.ended:
             feed(connection, b"x")
-    assert connection.over
+    assert connection.ended
--- a/tests/net/test_relay_client.py
+++ b/tests/net/test_relay_client.py
@@ -64,7 +64,7 @@
 
 
 def test_rejected_calls_are_retried_and_the_controller_is_notified_once():
-    assigner, event_loop = make_assigner(again_most=50.0)
+    assigner, event_loop = make_assigner(max_backoff_ms=50.0)
     call = start_call(event_loop, suspend_reconciliation(assigner), weight_order(1, "s1"))
     for _ in range(3):
         feed(call, [{"id": sent_orders(call)[1], "error": {"code": -1, "message": "BUSY"}}])
@@ -124,7 +124,7 @@
 
 
 def test_an_unreadable_order_is_isolated_by_halving_and_discarded():
-    assigner, event_loop = make_assigner(again_most=50.0)
+    assigner, event_loop = make_assigner(max_backoff_ms=50.0)
     call = start_call(
         event_loop, suspend_reconciliation(assigner), *[weight_order(k, "s1") for k in range(4)]
     )
@@ -195,7 +195,7 @@
     assert [o.get("host") for o in sent_orders(next_call)[0][-1]] == (
         ["s3"] if carried_out else ["s2", "s1", None, "s3"]
     )
-    assert snapshot.over and not assigner.relay.unresolved.is_pending
+    assert snapshot.ended and not assigner.relay.unresolved.is_pending
     feed(
         next_call,
         [
@@ -321,7 +321,7 @@
 
 
 def test_orders_beyond_the_size_limit_of_a_call_follow_in_order():
-    assigner, event_loop = make_assigner(call_bytes=100)
+    assigner, event_loop = make_assigner(max_call_bytes=100)
     call = start_call(
         event_loop, suspend_reconciliation(assigner), *[weight_order(k, "s1") for k in range(8)]
     )
@@ -344,9 +344,9 @@
             {"id": 3},
         ],
     )
-    assert not call.over and assigner.relay.call is None
+    assert not call.ended and assigner.relay.call is None
     event_loop.run_for(1600)
-    assert call.over and assigner.relay.connection is None
+    assert call.ended and assigner.relay.connection is None
 
 
 def test_orders_from_before_a_new_assignment_are_dropped():
@@ -381,4 +381,4 @@
     open_watch_stream(suspend_reconciliation(assigner), event_loop, SLICE_ASSIGNED, TABLE_ENTRY)
     call = start_call(event_loop, assigner, weight_order(4, "s2"), weight_order(4, "s1", 0.0))
     feed(call, [{"id": sent_orders(call)[1], **invalid}])
-    assert call.over and assigner.relay.unresolved.orders and not assigner.relay.queue.orders
+    assert call.ended and assigner.relay.unresolved.orders and not assigner.relay.queue.orders
--- a/tests/net/test_relay_watch.py
+++ b/tests/net/test_relay_watch.py
@@ -36,16 +36,16 @@
 
 @pytest.mark.parametrize("seconds", [3, 30])
 def test_the_number_of_connections_is_bounded_while_the_relay_is_silent(seconds):
-    assigner, event_loop = make_assigner(news_streams=2)
+    assigner, event_loop = make_assigner(relay_watch_count=2)
     suspend_reconciliation(assigner).relay.watch.start()
     assigner.relay.enqueue([weight_order(1, "s1")])
     for _ in range(10 * seconds):
         for connection in event_loop.connections:
-            if connection.transport is None and not connection.over:
+            if connection.transport is None and not connection.ended:
                 event_loop.open(connection.peer.name)
         event_loop.run_for(100)
     assert (
-        len([c for c in event_loop.connections if not c.over]) <= 4
+        len([c for c in event_loop.connections if not c.ended]) <= 4
         and len(event_loop.connections) < 5 + 2 * seconds
     )
 
@@ -61,7 +61,7 @@
         "SliceAssignment",
         "SnapshotEntry",
     ]
-    first, second = [c for c in event_loop.connections if not c.over]
+    first, second = [c for c in event_loop.connections if not c.ended]
     feed(second, [PROXY_DISCONNECTED, PROXY_CONNECTED, PUSH_ACKNOWLEDGED])
     feed(first, [PROXY_DISCONNECTED, PROXY_CONNECTED, PUSH_ACKNOWLEDGED, PROXY_DISCONNECTED])
     feed(second, [PROXY_DISCONNECTED])
@@ -121,7 +121,7 @@
     if not covered:
         feed(event_loop.open("relay_watch"), [SUCCESS_REPLY, PROXY_CONNECTED])
     event_loop.run_for(100)
-    assert first.over and second.over != covered
+    assert first.ended and second.ended != covered
     assert [type(e).__name__ for e in take_pending_events(assigner)] == (
         [] if covered else ["ProxyDisconnected", "ProxyConnected"]
     )
@@ -173,7 +173,7 @@
     feed(event_loop.open("relay_watch"), [{"method": "ACK", "params": invalid}, PUSH_ACKNOWLEDGED])
     assert [(e.proxy.id, e.nonce) for e in take_pending_events(assigner)] == [
         (1, 7)
-    ] and not event_loop.open("relay_watch").over
+    ] and not event_loop.open("relay_watch").ended
 
 
 @pytest.mark.parametrize(
@@ -191,7 +191,7 @@
     open_watch_stream(suspend_reconciliation(assigner), event_loop, PROXY_CONNECTED)
     connection = event_loop.open("relay_watch")
     feed(connection, [bad])
-    assert connection.over and event_loop.counters["bad_messages"] == 1
+    assert connection.ended and event_loop.counters["bad_messages"] == 1
     assert (
         f"'{field}'"
         in [fields["field"] for event, fields in event_loop.logged if event == "bad_message"][0]
@@ -203,7 +203,7 @@
     assigner, event_loop = make_assigner()
     suspend_reconciliation(assigner).relay.watch.start()
     for _ in range(200):
-        if any(c.peer.name == "relay_watch" and not c.over for c in event_loop.connections):
+        if any(c.peer.name == "relay_watch" and not c.ended for c in event_loop.connections):
             feed(
                 event_loop.open("relay_watch"),
                 [{"method": "GRANT", "params": {"partition": 1, "yes": "odd"}}],
@@ -228,7 +228,7 @@
     open_watch_stream(suspend_reconciliation(assigner), event_loop)
     take_pending_events(assigner)
     feed(event_loop.open("relay_watch"), [notification])
-    assert take_pending_events(assigner) == [] and not event_loop.open("relay_watch").over
+    assert take_pending_events(assigner) == [] and not event_loop.open("relay_watch").ended
 
 
 def test_a_notification_whose_method_is_not_a_string_is_a_bad_message():
@@ -236,5 +236,5 @@
     open_watch_stream(suspend_reconciliation(assigner), event_loop)
     connection = event_loop.open("relay_watch")
     feed(connection, [{"method": ["SUBSCRIBE"]}])
-    assert connection.over and event_loop.counters.get("bad_messages") == 1
+    assert connection.ended and event_loop.counters.get("bad_messages") == 1
     assert event_loop.counters.get("failures", 0) == 0
