--- a/havendyke/net/assigner.py
+++ b/havendyke/net/assigner.py
@@ -105,9 +105,9 @@
         )
 
     def forget_departed(self) -> None:
-        """Removes servers that have left for good, now and every `limits.sweep` ms.
+        """Removes servers that have left for good, now and every `limits.departed_sweep_interval_ms`.
 
-        Only the ids of those that were ejected are kept, at most `limits.forgotten`.
+        Only the ids of those that were ejected are kept, at most `limits.max_remembered_ejections`.
         """
         limits = self.event_loop.limits
         departed = self.registry.forget_departed(limits.max_remembered_ejections)
--- a/tests/net/test_crossing_start.py
+++ b/tests/net/test_crossing_start.py
@@ -43,11 +43,11 @@
     PAUSE
     + """
 import havendyke.config as module
-load = module.load
+load = module.load_config
 def paused_load(environ, path=None, reloading=False):
     loaded = load(environ, path, reloading)
     return loaded if reloading else pause(loaded)
-module.load = paused_load
+module.load_config = paused_load
 """
 )
 AT_FIRST_RECONCILIATION = (
