--- a/fuzz/faults.py
+++ b/fuzz/faults.py
@@ -238,8 +238,8 @@
     Fault(
         "set_order_decides",
         "policy/failover.py",
-        "for slice_ in sorted(orphans, key=lambda slice_: -demand_of(slice_)):",
-        "for slice_ in sorted(set(orphans), key=lambda slice_: hash(str(slice_.id))):",
+        "for slice_ in sorted(slices_to_move, key=lambda slice_: -demand_of(slice_)):",
+        "for slice_ in sorted(set(slices_to_move), key=lambda slice_: hash(str(slice_.id))):",
         "same",
     ),
     Fault(
--- a/fuzz/targets/core.py
+++ b/fuzz/targets/core.py
@@ -633,7 +633,7 @@
                     value,
                 )
         if draw.below(16) == 15 and not registry.pending_events:
-            registry.forget_departed(2)
+            registry.remove_unreferenced_servers(2)
     return digest.hexdigest()
 
 
--- a/havendyke/lab/scale/hollow.py
+++ b/havendyke/lab/scale/hollow.py
@@ -24,7 +24,7 @@
     "adjust_admission": "shed",
     "plan_tables": "plan",
     "emit_push": "emit",
-    "check_health": "ask",
+    "request_observations": "ask",
 }  # of a turn
 
 
--- a/havendyke/net/assigner.py
+++ b/havendyke/net/assigner.py
@@ -108,7 +108,7 @@
         Only which of them were ejected is remembered, at most `limits.forgotten` ids.
         """
         limits = self.event_loop.limits
-        departed = self.registry.forget_departed(limits.forgotten)
+        departed = self.registry.remove_unreferenced_servers(limits.forgotten)
         self.messages.endpoint_list.forget(departed)
         self.health_checker.forget(departed)
         self.event_loop.count("servers_forgotten", len(departed))
--- a/havendyke/policy/controller.py
+++ b/havendyke/policy/controller.py
@@ -133,7 +133,7 @@
 
     def _connect_proxy(self, event: ProxyConnected) -> None:
         self.observed.apply(event)
-        self.pushes.count_crossing_proxy(event.proxy, self.observed)
+        self.pushes.add_racing_recipient(event.proxy, self.observed)
 
     def _end_health_check(self, event: HealthCheckResult) -> None:
         self.observed.apply(event)
@@ -156,7 +156,7 @@
         if orders:
             # Not left to the next tick: a drain's grace period is a few pushes long.
             orders.append(StartTimer(PUSH_TIMER, self.pushes.interval_ms))
-        return orders + self.check_health()
+        return orders + self.request_observations()
 
     def assess_health(self) -> None:
         """Sets the condition of the fleet, and the health and capacity of each server."""
@@ -196,7 +196,7 @@
         """What proxies are to admit and retry now."""
         return self.retries.orders(self.condition, self.admission.limit)
 
-    def check_health(self) -> list[Order]:
+    def request_observations(self) -> list[Order]:
         """Requests to discovery and servers that are due."""
         return [
             *self.list_requests.due(self.observed.now_ms),
--- a/havendyke/policy/ejection.py
+++ b/havendyke/policy/ejection.py
@@ -9,11 +9,11 @@
 from ..interface import SetEjection, Settings
 from ..state import UNAVAILABLE, UNHEALTHY, Server, Slice, slices_by_server
 from .push_budget import PushBudget
-from .table_diff import is_covered
+from .table_diff import has_usable_endpoint
 
 # From then on an unavailable server is ejected even where that leaves slices without an endpoint:
 # the order needs the rest of a drain's grace period to reach all proxies.
-MAX_COVER_WAIT_MS = 750.0
+MAX_REPLACEMENT_WAIT_MS = 750.0
 # Where a table may stay empty for less, a slice without an endpoint might not get one in time.
 MIN_EMPTY_TABLE_MS = 2_000.0
 # An ejected server that warms up is unejected once it would get no more of a slice than this.
@@ -27,7 +27,7 @@
         self._enabled = bool(settings.slice_count) and not settings.exclusive_ownership
         self._cover_wait_ms = inf
         if settings.max_empty_table_ms >= MIN_EMPTY_TABLE_MS:
-            self._cover_wait_ms = MAX_COVER_WAIT_MS
+            self._cover_wait_ms = MAX_REPLACEMENT_WAIT_MS
 
     def orders(
         self,
@@ -65,7 +65,7 @@
             # Not before each slice has another usable endpoint, or requests would find none.
             return server.ejected or (
                 bool(named_by)
-                and (self._may_not_wait(server, now_ms) or all(map(is_covered, named_by)))
+                and (self._may_not_wait(server, now_ms) or all(map(has_usable_endpoint, named_by)))
             )
         # Unejected, a server that warms up would get all its earlier traffic at once.
         return server.ejected and not all(
--- a/havendyke/policy/failover.py
+++ b/havendyke/policy/failover.py
@@ -24,9 +24,9 @@
 
     def run(self, slices: Sequence[Slice], servers: Sequence[Server], now_ms: float) -> None:
         """Chooses a new primary for each slice that needs one, the largest demand first."""
-        orphans = [slice_ for slice_ in slices if _has_no_usable_primary(slice_)]
-        orphans += self._excess_slices(servers)
-        for slice_ in sorted(orphans, key=lambda slice_: -demand_of(slice_)):
+        slices_to_move = [slice_ for slice_ in slices if _has_no_usable_primary(slice_)]
+        slices_to_move += self._excess_slices(servers)
+        for slice_ in sorted(slices_to_move, key=lambda slice_: -demand_of(slice_)):
             self._fail_over(slice_, servers, now_ms)
 
     def _excess_slices(self, servers: Iterable[Server]) -> list[Slice]:
--- a/havendyke/policy/fleet_condition.py
+++ b/havendyke/policy/fleet_condition.py
@@ -33,7 +33,7 @@
     # Of the requests; kept for an adjustment after it has risen, until the load that returns shows.
     admitted_share: float = 1.0
     completed_share: float = 1.0  # of all attempts that ended
-    usual_in_flight: float = 0.0  # of the middle server, a position of the in-flight histograms
+    median_in_flight: float = 0.0  # of the middle server, a position of the in-flight histograms
 
     @property
     def load_shed(self) -> bool:
@@ -59,7 +59,7 @@
     def assess(self, ready_servers: Sequence[Server]) -> None:
         """Updates the condition; being overloaded and elevated errors have hysteresis."""
         condition = self.condition
-        condition.usual_in_flight = middle_of(
+        condition.median_in_flight = middle_of(
             [server.in_flight.median() or 0.0 for server in ready_servers], 0.0
         )
         outcomes = [server.outcomes.bins for server in ready_servers]
--- a/havendyke/policy/outlier_detection.py
+++ b/havendyke/policy/outlier_detection.py
@@ -11,8 +11,8 @@
 from .fleet_condition import FleetMonitor
 from .observation_decay import HALVING_INTERVAL_MS
 
-CONNECT_FAILURES_IN_A_ROW = 2
-UNANSWERED_CHECKS_IN_A_ROW = 3
+CONSECUTIVE_CONNECT_FAILURES = 2
+CONSECUTIVE_UNANSWERED_CHECKS = 3
 # A saturated server answers late: this many times as many of its checks must stay unanswered.
 SATURATED_CHECK_FACTOR = 5
 # A success is recent for this many report intervals.
@@ -49,11 +49,11 @@
             result.outcome != HealthCheckOutcome.PASSED
             and server.unhealthy_until_ms is None
             and (
-                server.consecutive_connect_failures == CONNECT_FAILURES_IN_A_ROW
+                server.consecutive_connect_failures == CONSECUTIVE_CONNECT_FAILURES
                 or server.unanswered_checks
                 in (
-                    UNANSWERED_CHECKS_IN_A_ROW,
-                    UNANSWERED_CHECKS_IN_A_ROW * SATURATED_CHECK_FACTOR,
+                    CONSECUTIVE_UNANSWERED_CHECKS,
+                    CONSECUTIVE_UNANSWERED_CHECKS * SATURATED_CHECK_FACTOR,
                 )
             )
         )
@@ -91,7 +91,7 @@
             return False
         return (
             server.unhealthy_until_ms is not None
-            or server.consecutive_connect_failures >= CONNECT_FAILURES_IN_A_ROW
+            or server.consecutive_connect_failures >= CONSECUTIVE_CONNECT_FAILURES
             or self._is_unresponsive(server, now_ms, last_success_ms)
             or (server.failing and self._failures_are_its_own(server, now_ms))
         )
@@ -113,14 +113,14 @@
         return not (saturated or condition.overloaded or condition.connections_exhausted)
 
     def _is_unresponsive(self, server: Server, now_ms: float, last_success_ms: float) -> bool:
-        if server.unanswered_checks < UNANSWERED_CHECKS_IN_A_ROW:
+        if server.unanswered_checks < CONSECUTIVE_UNANSWERED_CHECKS:
             return False
         # Unanswered checks count only while other servers succeed: the fault may be on this side.
         recent_ms = RECENT_SUCCESS_INTERVALS * self._report_interval_ms
         if not now_ms - last_success_ms < recent_ms < now_ms - server.last_success_ms:
             return False
         return (
-            server.unanswered_checks >= UNANSWERED_CHECKS_IN_A_ROW * SATURATED_CHECK_FACTOR
+            server.unanswered_checks >= CONSECUTIVE_UNANSWERED_CHECKS * SATURATED_CHECK_FACTOR
             or not self._may_be_saturated(server, now_ms)
         )
 
@@ -139,5 +139,5 @@
         # Distant servers answer late as well, but hold no more requests than others.
         in_flight = server.in_flight.median()
         return self._fleet.is_slow(server) and (
-            in_flight is None or in_flight > condition.usual_in_flight + SATURATED_IN_FLIGHT_MARGIN
+            in_flight is None or in_flight > condition.median_in_flight + SATURATED_IN_FLIGHT_MARGIN
         )
--- a/havendyke/policy/push_scheduler.py
+++ b/havendyke/policy/push_scheduler.py
@@ -16,20 +16,20 @@
     LEAST_URGENT_BEYOND_BUDGET,
     LEAST_URGENT_EXPEDITED,
     TableDiff,
-    is_covered,
-    order_of_change,
+    change_priority,
+    has_usable_endpoint,
     urgency,
 )
 
 # The channel may be this many times slower than its stated rate.
-SLOWEST_CHANNEL_FACTOR = 8.0
+MAX_CHANNEL_SLOWDOWN = 8.0
 # Where messages are limited, an interval is this much longer than the limit asks for.
 MESSAGE_LIMIT_MARGIN = 1.1
 # Exclusive ownership waits for every acknowledgement: one that is missing for this long is
 # requested again.
 REPEAT_ACKNOWLEDGEMENT_MS = 3_000.0
 # A proxy that connects within this time after a push may have received it.
-CROSSING_TIME_MS = 100.0
+PUSH_RACE_WINDOW_MS = 100.0
 
 
 class PushScheduler:
@@ -39,7 +39,7 @@
         self._exclusive = settings.exclusive_ownership
         self._sliced = bool(settings.slice_count)
         self._push_delay_ms = settings.push_delay_ms
-        self._slowest_entries_per_ms = settings.channel_rate_per_s / 1000 / SLOWEST_CHANNEL_FACTOR
+        self._min_entries_per_ms = settings.channel_rate_per_s / 1000 / MAX_CHANNEL_SLOWDOWN
         self._lease_ms = settings.lease_ms
         self.interval_ms = PUSH_INTERVAL_MS
         self._expedited_interval_ms = PUSH_INTERVAL_MS / 2
@@ -55,12 +55,12 @@
         self._next_push_ms = NEVER_MS
         self._next_expedited_push_ms = NEVER_MS
 
-    def count_crossing_proxy(self, proxy: Proxy, observed: ObservedState) -> None:
+    def add_racing_recipient(self, proxy: Proxy, observed: ObservedState) -> None:
         """A proxy that connects may have received a push that was just sent."""
         if not self._exclusive:
             return
         for push in observed.channel.pushes:
-            if observed.now_ms - push.sent_ms <= CROSSING_TIME_MS:
+            if observed.now_ms - push.sent_ms <= PUSH_RACE_WINDOW_MS:
                 push.add_recipient(proxy)
 
     def emit(self, observed: ObservedState, admission: list[SetAdmission]) -> list[Order]:
@@ -99,7 +99,7 @@
 
     def _budget(self, observed: ObservedState, proxy_count: int) -> PushBudget:
         queued = observed.channel.estimate_queue(
-            observed.proxies, observed.now_ms, self._push_delay_ms, self._slowest_entries_per_ms
+            observed.proxies, observed.now_ms, self._push_delay_ms, self._min_entries_per_ms
         )
         return self.costs.budget(proxy_count, queued)
 
@@ -140,13 +140,13 @@
         uncovered = [
             slice_
             for slice_ in changed
-            if urgency(slice_) <= LEAST_URGENT_BEYOND_BUDGET and not is_covered(slice_)
+            if urgency(slice_) <= LEAST_URGENT_BEYOND_BUDGET and not has_usable_endpoint(slice_)
         ]
         for slices, confirm in ((uncovered, False), (changed, True)):
             orders += self._ejection.orders(
                 observed.servers, observed.slices, push.sent_ms, budget, len(orders), confirm
             )
-            for slice_ in sorted(slices, key=order_of_change):
+            for slice_ in sorted(slices, key=change_priority):
                 self._add_change(orders, slice_, budget, push)
 
     def _add_change(
--- a/havendyke/policy/rebalancer.py
+++ b/havendyke/policy/rebalancer.py
@@ -13,10 +13,10 @@
 from .pacing import PUSH_INTERVAL_MS, MigrationPace
 
 # A server's interval as source or target: a migration shows in the load reports after it.
-SERVER_INTERVAL_MS = 5_000.0
-SLICE_INTERVAL_MS = 8_000.0
+SERVER_MIGRATION_INTERVAL_MS = 5_000.0
+SLICE_MIGRATION_INTERVAL_MS = 8_000.0
 # Report intervals for which a server must be overloaded.
-OVERLOADED_INTERVALS = 2
+MIN_OVERLOADED_INTERVALS = 2
 OVERLOADED_UTILIZATION = 1.5  # fair shares
 # Latencies as multiples of the fleet's median.
 OVERLOADED_RELATIVE_LATENCY = 1.6
@@ -50,7 +50,7 @@
         self._migrator = migrator
         self._pace = pace
         self._random = LinearCongruentialGenerator(seed)
-        self._interval_began_ms = NEVER_MS
+        self._interval_start_ms = NEVER_MS
 
     def run(
         self,
@@ -74,9 +74,9 @@
                 targets = [server for server in targets if server not in (target, source)]
 
     def _count_overloaded_intervals(self, servers: Iterable[Server], now_ms: float) -> None:
-        if now_ms < self._interval_began_ms + self._report_interval_ms:
+        if now_ms < self._interval_start_ms + self._report_interval_ms:
             return
-        self._interval_began_ms = now_ms
+        self._interval_start_ms = now_ms
         for server in servers:
             overloaded = server.health >= WARMING_UP and self._is_overloaded(server)
             server.overloaded_intervals = server.overloaded_intervals + 1 if overloaded else 0
@@ -95,12 +95,14 @@
     def _is_source(self, server: Server, now_ms: float) -> bool:
         # A server that is slower than others but within the objectives keeps its slices: a
         # migration costs cold caches, and connections at both servers until the old ones close.
-        if server.overloaded_intervals < OVERLOADED_INTERVALS or not self._fleet.is_slow(server):
+        if server.overloaded_intervals < MIN_OVERLOADED_INTERVALS or not self._fleet.is_slow(
+            server
+        ):
             return False
         # One that fails beside a healthy fleet works on requests that clients have abandoned: it
         # may release a slice with each push. 1 ms less, since a timer may fire early.
         congested_alone = server.failing and not self._fleet.condition.overloaded
-        interval_ms = PUSH_INTERVAL_MS - 1 if congested_alone else SERVER_INTERVAL_MS
+        interval_ms = PUSH_INTERVAL_MS - 1 if congested_alone else SERVER_MIGRATION_INTERVAL_MS
         # All controllers that hold slices of the server share its interval.
         shared_ms = self._pace.controllers_per_server * interval_ms
         return now_ms - server.released_slice_ms > shared_ms
@@ -112,9 +114,9 @@
             server.health == HEALTHY
             and not server.ejected
             and server.relative_latency < UNDERLOADED_RELATIVE_LATENCY
-            and (server.in_flight.median() or 0.0) <= self._fleet.condition.usual_in_flight
+            and (server.in_flight.median() or 0.0) <= self._fleet.condition.median_in_flight
             and now_ms - max(server.released_slice_ms, server.received_slice_ms)
-            > SERVER_INTERVAL_MS * self._pace.controllers_per_server
+            > SERVER_MIGRATION_INTERVAL_MS * self._pace.controllers_per_server
         )
 
     def _release_one_slice(
@@ -133,7 +135,7 @@
 
     def _may_migrate(self, slice_: Slice, now_ms: float) -> bool:
         return (
-            now_ms - slice_.migrated_ms > SLICE_INTERVAL_MS
+            now_ms - slice_.migrated_ms > SLICE_MIGRATION_INTERVAL_MS
             and self._pace.is_settled(slice_)
             and self._migrator.budget > 0
         )
--- a/havendyke/policy/recovery_ramp.py
+++ b/havendyke/policy/recovery_ramp.py
@@ -38,7 +38,7 @@
                 if self._limits.fits(server, demand_of(slice_), MAX_FAIR_SHARES):
                     self._migrator.migrate(slice_, server, now_ms)
 
-    def refill(self, slices: Sequence[Slice], servers: Sequence[Server], now_ms: float) -> None:
+    def ramp_up(self, slices: Sequence[Slice], servers: Sequence[Server], now_ms: float) -> None:
         """Each recovering server gets one slice a push.
 
         Rebalancing would be far too slow: it acts only on overloaded sources.
--- a/havendyke/policy/table_diff.py
+++ b/havendyke/policy/table_diff.py
@@ -40,7 +40,7 @@
     published: dict[Server, float]
 
 
-def is_covered(slice_: Slice) -> bool:
+def has_usable_endpoint(slice_: Slice) -> bool:
     """Whether a published endpoint can take the slice's traffic now."""
     primary = slice_.primary()
     return any(
@@ -67,7 +67,7 @@
     return Urgency.ORDINARY
 
 
-def order_of_change(slice_: Slice) -> tuple[Urgency, float]:
+def change_priority(slice_: Slice) -> tuple[Urgency, float]:
     """The sort key of changes within a push: by urgency, then the largest demand."""
     return urgency(slice_), -demand_of(slice_)
 
--- a/havendyke/policy/table_planner.py
+++ b/havendyke/policy/table_planner.py
@@ -17,7 +17,7 @@
 
 # Exclusive ownership: slices are rebalanced only where a table may stay empty for this many
 # hand-overs, since a controller that stops within one leaves another to begin it anew.
-HAND_OVERS_OF_CHOICE = 3.0
+MIN_HANDOVERS_TO_REBALANCE = 3.0
 
 
 class TablePlanner:
@@ -29,7 +29,8 @@
         hand_over_ms = settings.lease_ms + settings.max_write_in_flight_ms
         self._exclusive = settings.exclusive_ownership
         self._may_rebalance = (
-            not self._exclusive or settings.max_empty_table_ms > HAND_OVERS_OF_CHOICE * hand_over_ms
+            not self._exclusive
+            or settings.max_empty_table_ms > MIN_HANDOVERS_TO_REBALANCE * hand_over_ms
         )
         self._costs = costs
         self._fleet = fleet
@@ -53,7 +54,7 @@
         self._limit_migrations(observed)
         if not self._exclusive:
             self.recovery.restore_ejected(slices, servers, now_ms)
-            self.recovery.refill(slices, servers, now_ms)
+            self.recovery.ramp_up(slices, servers, now_ms)
         if self._may_rebalance:
             self.rebalancer.run(servers, now_ms, observed.last_success_ms, self.demand.observed)
         if not self._exclusive:
--- a/havendyke/registry.py
+++ b/havendyke/registry.py
@@ -46,7 +46,7 @@
         """The proxy of an id, made when the id is new."""
         return _get_or_add(self.proxies, ident, self.controller.add_proxy)
 
-    def forget_departed(self, max_ejected_ids: int) -> list[Server]:
+    def remove_unreferenced_servers(self, max_ejected_ids: int) -> list[Server]:
         """Removes and returns the servers that no list and no table names any more.
 
         The adapter calls this at intervals, since the cost of a reconciliation grows with the
--- a/tests/controller_scene.py
+++ b/tests/controller_scene.py
@@ -17,19 +17,19 @@
 from havendyke.policy.admission import COMPLETED_SHARE_ADMITTED
 from havendyke.policy.health_checks import CHECKS_PER_SERVER_PER_S
 from havendyke.policy.outlier_detection import (
-    CONNECT_FAILURES_IN_A_ROW,
+    CONSECUTIVE_CONNECT_FAILURES,
+    CONSECUTIVE_UNANSWERED_CHECKS,
     MAX_EJECTION_TIME_MS,
     RECENT_SUCCESS_INTERVALS,
-    UNANSWERED_CHECKS_IN_A_ROW,
 )
 from havendyke.policy.pacing import PUSH_INTERVAL_MS
 from havendyke.policy.push_budget import PushBudget
-from havendyke.policy.push_scheduler import CROSSING_TIME_MS
-from havendyke.policy.rebalancer import OVERLOADED_INTERVALS, SERVER_INTERVAL_MS
+from havendyke.policy.push_scheduler import PUSH_RACE_WINDOW_MS
+from havendyke.policy.rebalancer import MIN_OVERLOADED_INTERVALS, SERVER_MIGRATION_INTERVAL_MS
 from havendyke.policy.slow_start import CAUTIOUS_START_MS, OVERLOAD_SHARE
 from havendyke.policy.standby import STANDBY_WEIGHT
-from havendyke.policy.table_diff import order_of_change
-from havendyke.policy.table_planner import HAND_OVERS_OF_CHOICE
+from havendyke.policy.table_diff import change_priority
+from havendyke.policy.table_planner import MIN_HANDOVERS_TO_REBALANCE
 from havendyke.policy.tick import TICK_INTERVAL_MS
 from havendyke.policy.zone_loss import MIN_PEAK_PROXIES, MIN_REPORTED_SERVERS
 from havendyke.state import (
@@ -65,15 +65,15 @@
     "HealthState",
     "LinearCongruentialGenerator",
 ]
-CONSECUTIVE_FAILURES_TO_EJECT = CONNECT_FAILURES_IN_A_ROW
-UNANSWERED_CHECKS_TO_EJECT = UNANSWERED_CHECKS_IN_A_ROW
+CONSECUTIVE_FAILURES_TO_EJECT = CONSECUTIVE_CONNECT_FAILURES
+UNANSWERED_CHECKS_TO_EJECT = CONSECUTIVE_UNANSWERED_CHECKS
 MAX_SUCCESS_AGE_REPORTS = RECENT_SUCCESS_INTERVALS  # report intervals
 MIN_ZONE_PROXIES = MIN_PEAK_PROXIES
 WARM_UP_LOAD_SHARE = OVERLOAD_SHARE  # of the load that fells a server
-OVERLOADED_REPORTS_TO_MIGRATE = OVERLOADED_INTERVALS
-MIGRATION_INTERVAL_MS = SERVER_INTERVAL_MS
-HANDOVERS_WITHIN_EMPTY_LIMIT = HAND_OVERS_OF_CHOICE
-CONNECT_RACE_WINDOW_MS = CROSSING_TIME_MS
+OVERLOADED_REPORTS_TO_MIGRATE = MIN_OVERLOADED_INTERVALS
+MIGRATION_INTERVAL_MS = SERVER_MIGRATION_INTERVAL_MS
+HANDOVERS_WITHIN_EMPTY_LIMIT = MIN_HANDOVERS_TO_REBALANCE
+CONNECT_RACE_WINDOW_MS = PUSH_RACE_WINDOW_MS
 RECONCILE_INTERVAL_MS = TICK_INTERVAL_MS
 
 LONG_AGO_MS = -1e9
@@ -322,7 +322,7 @@
     def ramp_up_recovered(self, slices: Sequence[Slice]) -> None:
         """Gives slices to servers that came back."""
         self._update_pace()
-        self.controller.planner.recovery.refill(slices, self.servers, self.now_ms)
+        self.controller.planner.recovery.ramp_up(slices, self.servers, self.now_ms)
 
     def rebalance(self) -> None:
         """Moves slices off overloaded servers."""
@@ -354,7 +354,7 @@
 
     def push_order(self, slices: Iterable[Slice]) -> list[Slice]:
         """The slices in the order in which a push takes them up."""
-        return sorted(slices, key=order_of_change)
+        return sorted(slices, key=change_priority)
 
     def admission_orders(self) -> list[core.SetAdmission]:
         return self.controller.admission_orders()
@@ -366,7 +366,7 @@
 
     def request_observations(self) -> list[core.Order]:
         """The health checks that are due, and the request for the endpoint list if it is."""
-        return self.controller.check_health()
+        return self.controller.request_observations()
 
     # The fleet's condition
 
@@ -515,7 +515,7 @@
 
     def keep_overloaded_reports(self) -> None:
         """The next rebalancing leaves the counts of overloaded report intervals as they are."""
-        self.controller.planner.rebalancer._interval_began_ms = self.now_ms
+        self.controller.planner.rebalancer._interval_start_ms = self.now_ms
 
     def last_migration_from(self, server: Server) -> float:
         return server.released_slice_ms
@@ -661,7 +661,7 @@
         """The estimate of the entries that wait in the channel."""
         pushes = self.controller.pushes
         return self.controller.observed.channel.estimate_queue(
-            self.proxies, self.now_ms, pushes._push_delay_ms, pushes._slowest_entries_per_ms
+            self.proxies, self.now_ms, pushes._push_delay_ms, pushes._min_entries_per_ms
         )
 
     def assume_queued_share(self, share: float) -> None:
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -4,7 +4,7 @@
 from controller_scene import STANDBY_WEIGHT, ControllerScene
 
 from havendyke import interface as core
-from havendyke.policy.ejection import MAX_COVER_WAIT_MS
+from havendyke.policy.ejection import MAX_REPLACEMENT_WAIT_MS
 
 
 def ejections(scene, slices):
@@ -86,13 +86,21 @@
 @pytest.mark.parametrize(
     "state, since_ms, max_empty_table_ms, ejected",
     [
-        pytest.param(core.ServerState.DRAINING, MAX_COVER_WAIT_MS, 5000.0, True, id="late"),
-        pytest.param(core.ServerState.GONE, MAX_COVER_WAIT_MS, 5000.0, True, id="late, gone"),
-        pytest.param(core.ServerState.DRAINING, MAX_COVER_WAIT_MS - 1, 5000.0, False, id="early"),
+        pytest.param(core.ServerState.DRAINING, MAX_REPLACEMENT_WAIT_MS, 5000.0, True, id="late"),
+        pytest.param(core.ServerState.GONE, MAX_REPLACEMENT_WAIT_MS, 5000.0, True, id="late, gone"),
         pytest.param(
-            core.ServerState.DRAINING, MAX_COVER_WAIT_MS, 1000.0, False, id="no table may be empty"
+            core.ServerState.DRAINING, MAX_REPLACEMENT_WAIT_MS - 1, 5000.0, False, id="early"
+        ),
+        pytest.param(
+            core.ServerState.DRAINING,
+            MAX_REPLACEMENT_WAIT_MS,
+            1000.0,
+            False,
+            id="no table may be empty",
+        ),
+        pytest.param(
+            core.ServerState.READY, MAX_REPLACEMENT_WAIT_MS, 5000.0, False, id="unhealthy"
         ),
-        pytest.param(core.ServerState.READY, MAX_COVER_WAIT_MS, 5000.0, False, id="unhealthy"),
     ],
 )
 def test_a_drain_whose_grace_runs_out_does_not_wait_until_its_slices_have_other_endpoints(
