--- a/havendyke/policy/__init__.py
+++ b/havendyke/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision and every tuned value of the controller, a module for each concern."""
+"""The controller's decisions and their tuning constants, one module per concern."""
 
 from .controller import Controller
 
--- a/havendyke/policy/admission.py
+++ b/havendyke/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: the share of requests that proxies admit while the fleet is overloaded."""
+"""Admission control: limits the share of requests that proxies admit during overload."""
 
 from dataclasses import dataclass
 
@@ -6,12 +6,12 @@
 from .fleet_condition import FleetCondition
 
 ADJUST_INTERVAL_MS = 2_500.0
-# Admits less than the fleet completed, so that requests already queued can drain.
+# Below 1, so that requests already queued can drain.
 COMPLETED_SHARE_ADMITTED = 0.9
 MIN_ADMISSION_PROBABILITY = 0.25
 ADMIT_ALL = 1.0
 RECOVERY_FACTOR = 1.5  # of the limit at each adjustment
-SHEDDING_ERROR_RATE = 0.12  # share of failed attempts from which load is shed
+SHEDDING_ERROR_RATE = 0.12  # share of failed attempts above which load is shed
 UNLIMITED_REQUESTS_PER_S = 1e6
 
 
@@ -24,14 +24,14 @@
     failed: float
 
     def error_rate_exceeds(self, rate: float) -> bool:
-        """Whether more than this share of the attempts that ended have failed."""
+        """Whether more than this share of the completed attempts failed."""
         return self.failed > rate * (self.succeeded + self.failed)
 
 
 class AdmissionController:
     """Lowers the admission probability while the fleet is saturated, and raises it afterwards.
 
-    Acts only where proxies shed load by share; otherwise `limit` stays at its first value, which
+    Active only if proxies shed load by share; otherwise `limit` keeps its initial value, which
     admits everything. Writes `admitted_share` of the fleet's condition.
     """
 
@@ -42,24 +42,25 @@
         self._next_adjustment_ms = -ADJUST_INTERVAL_MS
 
     def adjust(self, now_ms: float, condition: FleetCondition, counts: RequestCounts) -> bool:
-        """Judges the counts at most once an interval, and adjusts the limit by them.
+        """Adjusts the limit to the counts, at most once per interval.
 
-        Returns whether it judged them; the caller then counts requests anew.
+        Returns whether it evaluated the counts; the caller then resets them.
         """
         if not self._enabled or now_ms < self._next_adjustment_ms:
             return False
         self._next_adjustment_ms = now_ms + ADJUST_INTERVAL_MS
-        former_limit = self.limit
-        # Fast failures alone are refused connections: shedding load frees none of them.
+        previous_limit = self.limit
+        # Failures without high latency are refused connections, which load shedding does not free.
         saturated = condition.overloaded and condition.congested
         if saturated and counts.error_rate_exceeds(SHEDDING_ERROR_RATE):
             self._shed(counts)
-            # Requests admitted before must drain before the effect can be seen.
+            # Requests already admitted must drain before the effect shows.
             self._next_adjustment_ms += ADJUST_INTERVAL_MS
-        # Servers that warm up have no reports and hide the overload of the others in the median.
+        # Not raised while collapsed: servers that warm up have no reports, so that the median may
+        # hide the overload of the others.
         elif not condition.collapsed and not saturated:
             self.limit = min(ADMIT_ALL, RECOVERY_FACTOR * self.limit)
-        condition.admitted_share = min(former_limit, self.limit)
+        condition.admitted_share = min(previous_limit, self.limit)
         return True
 
     def _shed(self, counts: RequestCounts) -> None:
--- a/havendyke/policy/connection_usage.py
+++ b/havendyke/policy/connection_usage.py
@@ -1,4 +1,4 @@
-"""Estimates from the proxies' request rates how many of the servers' connections are open."""
+"""Estimates the servers' open connections from the request rates of proxies."""
 
 from collections.abc import Iterable
 
@@ -6,7 +6,7 @@
 from ..state import Proxy, connections_per_server
 from .fleet_condition import FleetCondition
 
-# A burst of traffic, as a multiple of the usual.
+# The traffic during a burst, as a multiple of the expected request rate.
 BURST_FACTOR = 1.5
 
 
@@ -17,15 +17,15 @@
         self._capacity = settings.connection_capacity
         self._idle_ms = settings.connection_idle_ms
         self._condition = condition
-        self._counted: tuple[int, int] | None = None
+        self._last_counts: tuple[int, int] | None = None
 
     def update(self, proxies: Iterable[Proxy], ready_server_count: int) -> None:
         """Repeats the estimate when the number of proxies or servers has changed."""
         connected = [proxy for proxy in proxies if proxy.connected]
         counts = len(connected), ready_server_count
-        if counts == self._counted:
+        if counts == self._last_counts:
             return
-        self._counted = counts
+        self._last_counts = counts
         open_share = 0.0
         if self._capacity:
             in_use = connections_per_server(connected, ready_server_count, self._idle_ms)
--- a/havendyke/policy/controller.py
+++ b/havendyke/policy/controller.py
@@ -1,4 +1,4 @@
-"""The controller: events in, orders out."""
+"""The controller, which turns events into orders."""
 
 from __future__ import annotations
 
@@ -33,16 +33,17 @@
 from .tick import TICK_INTERVAL_MS
 from .zone_loss import ZoneLossDetector
 
-# Ids of the controller's timers, as `StartTimer` and `TimerFired` carry them.
-TICK_TIMER = 0
-PUSH_TIMER = 1
+# Ids of the controller's timers in `StartTimer` and `TimerFired`.
+TICK_TIMER_ID = 0
+PUSH_TIMER_ID = 1
 
 
 class Controller:
     """Publishes routing tables to a fleet of proxies.
 
-    An adapter makes one at each start, adds an object for each server, slice and proxy, and calls
-    `reconcile` with the events that came in. No part does I/O or reads a clock.
+    An adapter creates one at startup, adds an object for each server, slice and proxy, and calls
+    `reconcile` with the events received since the last call. The controller performs no I/O and
+    reads no clock.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -65,63 +66,63 @@
 
     @property
     def servers(self) -> list[Server]:
-        """All servers that are known, in the order in which they were added."""
+        """All known servers, in the order in which they were added."""
         return self.observed.servers
 
     @property
     def slices(self) -> list[Slice]:
-        """All slices that are known, in the order in which they were added."""
+        """All known slices, in the order in which they were added."""
         return self.observed.slices
 
     @property
     def proxies(self) -> list[Proxy]:
-        """All proxies that are known, in the order in which they were added."""
+        """All known proxies, in the order in which they were added."""
         return self.observed.proxies
 
     @property
     def condition(self) -> FleetCondition:
-        """The condition of the fleet at the last reconciliation."""
+        """The condition of the fleet as of the last reconciliation."""
         return self.fleet.condition
 
-    def add_server(self, ident: str) -> Server:
-        """Adds the server of a new id."""
-        return self.observed.add_server(ident)
+    def add_server(self, server_id: str) -> Server:
+        """Adds a server; its id must be new."""
+        return self.observed.add_server(server_id)
 
-    def add_slice(self, ident: int) -> Slice:
-        """Adds the slice of a new id."""
-        return self.observed.add_slice(ident)
+    def add_slice(self, slice_id: int) -> Slice:
+        """Adds a slice; its id must be new."""
+        return self.observed.add_slice(slice_id)
 
-    def add_proxy(self, ident: int) -> Proxy:
-        """Adds the proxy of a new id."""
-        return self.observed.add_proxy(ident)
+    def add_proxy(self, proxy_id: int) -> Proxy:
+        """Adds a proxy; its id must be new."""
+        return self.observed.add_proxy(proxy_id)
 
     def reconcile(self, now_ms: float, events: Iterable[Event]) -> list[Order]:
-        """Applies the events and returns the orders that follow from them at `now_ms`."""
+        """Applies the events and returns the resulting orders as of `now_ms`."""
         events = list(events)
         self.observed.now_ms = now_ms
-        fired = {event.timer_id for event in events if isinstance(event, TimerFired)}
+        fired_timer_ids = {event.timer_id for event in events if isinstance(event, TimerFired)}
         orders: list[Order] = []
-        if self.started_ms is None or TICK_TIMER in fired:
-            orders.append(StartTimer(TICK_TIMER, TICK_INTERVAL_MS))
+        if self.started_ms is None or TICK_TIMER_ID in fired_timer_ids:
+            orders.append(StartTimer(TICK_TIMER_ID, TICK_INTERVAL_MS))
         if self.started_ms is None:
             self._start(now_ms)
         self._apply(events)
-        if self.observed.reconciliation_due or orders or fired:
+        if self.observed.reconciliation_due or orders or fired_timer_ids:
             self.observed.reconciliation_due = False
             orders += self._update()
         return orders
 
     def _start(self, now_ms: float) -> None:
         self.started_ms = now_ms
-        # Proxies that were connected before have lost their streams with the earlier process.
+        # Proxies connected to the previous process lost their streams when it ended.
         self.observed.last_disconnect_ms = now_ms
 
     def _apply(self, events: Iterable[Event]) -> None:
-        observe = self.observed.apply
+        apply_to_state = self.observed.apply
         for event in events:
             handler = self._HANDLERS.get(type(event))
             if handler is None:
-                observe(event)
+                apply_to_state(event)
             else:
                 handler(self, event)
 
@@ -135,16 +136,16 @@
         self.observed.apply(event)
         self.pushes.add_racing_recipient(event.proxy, self.observed)
 
-    def _end_health_check(self, event: HealthCheckResult) -> None:
+    def _record_health_check(self, event: HealthCheckResult) -> None:
         self.observed.apply(event)
         if self.outliers.reaches_threshold(event):
             self.observed.reconciliation_due = True
 
-    # Events that concern more than the observed state.
+    # Handlers of events that affect more than the observed state.
     _HANDLERS: ClassVar[dict[type, Callable[[Controller, Any], None]]] = {
         EndpointListUpdate: _update_endpoint_list,
         ProxyConnected: _connect_proxy,
-        HealthCheckResult: _end_health_check,
+        HealthCheckResult: _record_health_check,
     }
 
     def _update(self) -> list[Order]:
@@ -154,12 +155,12 @@
         self.plan_tables()
         orders = self.emit_push()
         if orders:
-            # Not left to the next tick: a drain's grace period is a few pushes long.
-            orders.append(StartTimer(PUSH_TIMER, self.pushes.interval_ms))
+            # Ticks alone would delay the next push; a drain's grace period is only a few pushes.
+            orders.append(StartTimer(PUSH_TIMER_ID, self.pushes.interval_ms))
         return orders + self.request_observations()
 
     def assess_health(self) -> None:
-        """Sets the condition of the fleet, and the health and capacity of each server."""
+        """Updates the condition of the fleet, and the health and capacity of each server."""
         observed = self.observed
         now_ms = observed.now_ms
         self.decay.run(observed, self.planner.slow_start.fleet_capacity)
@@ -174,7 +175,7 @@
         self.capacity.update(observed.servers, ready, now_ms, list_is_current)
 
     def adjust_admission(self) -> None:
-        """Sheds load, or admits more again."""
+        """Lowers or raises the admission limit."""
         observed = self.observed
         succeeded, failed = observed.attempts.bins
         counts = RequestCounts(observed.offered_requests, succeeded, failed)
@@ -182,22 +183,22 @@
             observed.reset_request_counts()
 
     def plan_tables(self) -> None:
-        """Sets the desired tables."""
+        """Updates the desired tables."""
         if self.settings.slice_count:
             self.planner.plan(self.observed, self._age_ms)
         else:
             self.shared_tables.plan(self.observed.servers)
 
     def emit_push(self) -> list[Order]:
-        """The orders of the next push, none while none is due."""
+        """Returns the orders of the next push, or none while no push is due."""
         return self.pushes.emit(self.observed, self.admission_orders())
 
     def admission_orders(self) -> list[SetAdmission]:
-        """What proxies are to admit and retry now."""
+        """Returns the admission limits and retry policies for the current condition."""
         return self.retries.orders(self.condition, self.admission.limit)
 
     def request_observations(self) -> list[Order]:
-        """Requests to discovery and servers that are due."""
+        """Returns due requests for the endpoint list and due health checks."""
         return [
             *self.list_requests.due(self.observed.now_ms),
             *self.health_checks.due(self.observed),
--- a/havendyke/policy/ejection.py
+++ b/havendyke/policy/ejection.py
@@ -1,6 +1,6 @@
-"""Ejection: takes a server out of all slices at the proxies by one order.
+"""Ejection: removes a server from all slices at the proxies with a single order.
 
-The entries of all its slices, times the proxies, would take longer than a drain's grace period.
+Updating the tables of all its slices at all proxies would exceed a drain's grace period.
 """
 
 from collections.abc import Sequence
@@ -11,12 +11,14 @@
 from .push_budget import PushBudget
 from .table_diff import has_usable_endpoint
 
-# From then on an unavailable server is ejected even where that leaves slices without an endpoint:
-# the order needs the rest of a drain's grace period to reach all proxies.
+# After this time an unavailable server is ejected even if slices have no other usable endpoint: the
+# order needs the rest of a drain's grace period to reach all proxies.
 MAX_REPLACEMENT_WAIT_MS = 750.0
-# Where a table may stay empty for less, a slice without an endpoint might not get one in time.
+# If tables may stay empty only for less, ejections always wait: a slice without an endpoint might
+# not get one in time.
 MIN_EMPTY_TABLE_MS = 2_000.0
-# An ejected server that warms up is unejected once it would get no more of a slice than this.
+# A usable server stays ejected while, unejected, it would get at least this share of a slice that
+# has another primary.
 MAX_UNEJECTED_SHARE = 0.1
 
 
@@ -25,9 +27,9 @@
 
     def __init__(self, settings: Settings) -> None:
         self._enabled = bool(settings.slice_count) and not settings.exclusive_ownership
-        self._cover_wait_ms = inf
+        self._replacement_wait_ms = inf
         if settings.max_empty_table_ms >= MIN_EMPTY_TABLE_MS:
-            self._cover_wait_ms = MAX_REPLACEMENT_WAIT_MS
+            self._replacement_wait_ms = MAX_REPLACEMENT_WAIT_MS
 
     def orders(
         self,
@@ -38,47 +40,48 @@
         entries_used: int,
         confirm: bool,
     ) -> list[SetEjection]:
-        """Ejections and their ends within the budget, servers in the worst health first.
+        """Returns orders that begin or end ejections, servers in the worst health first.
 
-        `confirm`: also repeats what some proxies may not know. That comes after all that is new,
-        and only for servers that a table names, since many proxies may have connected at once.
+        `confirm`: also repeats orders that some proxies may not have received. The caller sets it
+        after new orders have been added. Only orders for servers in published tables are repeated,
+        since many proxies may have connected at once.
         """
         if not self._enabled:
             return []
         orders: list[SetEjection] = []
-        users = slices_by_server(slices)
+        slices_of = slices_by_server(slices)
         for server in sorted(servers, key=lambda s: s.health):
             if not (server.ejected or server.ejection_unconfirmed or server.health <= UNHEALTHY):
                 continue
-            named_by = users.get(server, [])
-            ejected = self._should_be_ejected(server, named_by, now_ms)
-            repeated = confirm and server.ejection_unconfirmed and bool(named_by)
-            if ejected == server.ejected and not repeated:
+            server_slices = slices_of.get(server, [])
+            ejected = self._should_be_ejected(server, server_slices, now_ms)
+            repeat = confirm and server.ejection_unconfirmed and bool(server_slices)
+            if ejected == server.ejected and not repeat:
                 continue
             limit = budget.urgent if server.health <= UNHEALTHY else budget.ordinary
             if len(orders) < limit - entries_used:
                 orders.append(_set_ejection(server, ejected))
         return orders
 
-    def _should_be_ejected(self, server: Server, named_by: Sequence[Slice], now_ms: float) -> bool:
+    def _should_be_ejected(self, server: Server, slices: Sequence[Slice], now_ms: float) -> bool:
         if server.health <= UNHEALTHY:
-            # Not before each slice has another usable endpoint, or requests would find none.
+            # Waits until each slice has another usable endpoint, or requests would find none.
             return server.ejected or (
-                bool(named_by)
-                and (self._may_not_wait(server, now_ms) or all(map(has_usable_endpoint, named_by)))
+                bool(slices)
+                and (self._must_not_wait(server, now_ms) or all(map(has_usable_endpoint, slices)))
             )
-        # Unejected, a server that warms up would get all its earlier traffic at once.
+        # Once unejected, a server that warms up would get all of its former traffic at once.
         return server.ejected and not all(
             slice_.primary() is server or slice_.share_if_unejected(server) < MAX_UNEJECTED_SHARE
-            for slice_ in named_by
+            for slice_ in slices
         )
 
-    def _may_not_wait(self, server: Server, now_ms: float) -> bool:
-        """Whether the drain's grace would end before an ejection after a cover arrives."""
+    def _must_not_wait(self, server: Server, now_ms: float) -> bool:
+        """Whether an ejection must be sent now to arrive within the drain's grace period."""
         return (
             server.health == UNAVAILABLE
             and server.left_ms is not None
-            and now_ms - server.left_ms >= self._cover_wait_ms
+            and now_ms - server.left_ms >= self._replacement_wait_ms
         )
 
 
--- a/havendyke/policy/failover.py
+++ b/havendyke/policy/failover.py
@@ -8,17 +8,17 @@
 from .load_limits import MAX_FAIR_SHARES, LoadLimits, rendezvous_score
 from .migration import SliceMigrator
 
-# A server that warms up keeps its slices up to this multiple of its admissible load.
+# A server that warms up keeps slices up to this multiple of its admissible load.
 WARMING_UP_TOLERANCE = 1.25
 
 
 class Failover:
-    """Moves slices off servers that are unavailable, unhealthy, or warming up with too many."""
+    """Migrates slices off servers that are unavailable, unhealthy, or overloaded in warm-up."""
 
     def __init__(self, settings: Settings, limits: LoadLimits, migrator: SliceMigrator) -> None:
-        self._hand_over_ms = 0.0
+        self._handover_ms = 0.0
         if settings.exclusive_ownership:
-            self._hand_over_ms = settings.lease_ms + settings.max_write_in_flight_ms
+            self._handover_ms = settings.lease_ms + settings.max_write_in_flight_ms
         self._limits = limits
         self._migrator = migrator
 
@@ -30,10 +30,10 @@
             self._fail_over(slice_, servers, now_ms)
 
     def _excess_slices(self, servers: Iterable[Server]) -> list[Slice]:
-        """Slices from before a restart, beyond what servers that warm up can carry.
+        """Returns slices beyond the load that servers which warm up can carry after a restart.
 
-        A server whose start is only assumed keeps them: by a cached list a healthy fleet may look
-        cold, and would lose its tables.
+        A server whose start is only assumed keeps its slices: according to a cached list a healthy
+        fleet may seem to warm up, and would lose its tables.
         """
         excess = []
         for server in servers:
@@ -58,22 +58,21 @@
         ]
         target = self._choose_target(slice_, pool)
         must_leave = primary is None or primary.health in (UNAVAILABLE, WARMING_UP)
-        # A migration between two unhealthy servers would spend a push and gain nothing.
+        # A migration between two unhealthy servers would use up push capacity for no gain.
         if must_leave or (target is not None and target.health > UNHEALTHY):
             self._migrator.migrate(slice_, target, now_ms)
 
     def _is_taking_over(self, server: Server, now_ms: float) -> bool:
-        # What waited for slices comes all at once when they are handed over.
-        return (
-            server.health == WARMING_UP and now_ms - server.received_slice_ms < self._hand_over_ms
-        )
+        # Requests that waited for a slice arrive all at once at the end of its handover, so a
+        # server that warms up takes over one slice at a time.
+        return server.health == WARMING_UP and now_ms - server.received_slice_ms < self._handover_ms
 
     def _choose_target(self, slice_: Slice, pool: Sequence[Server]) -> Server | None:
         primary = slice_.primary()
         standbys = [s for s in slice_.desired if s in pool and s.health == HEALTHY]
         other_zones: list[Server] = []
         if primary is not None and primary.health == UNHEALTHY:
-            # The fault may concern the primary's whole zone.
+            # The fault may affect the primary's whole zone.
             other_zones = [server for server in pool if server.zone != primary.zone]
         preferences = (standbys, other_zones, pool)
         demand = demand_of(slice_)
@@ -81,10 +80,10 @@
         def fits(server: Server) -> bool:
             return self._limits.fits(server, demand, MAX_FAIR_SHARES)
 
-        def may_hold_alone(server: Server) -> bool:
-            return self._limits.may_hold_alone(server, demand)
+        def may_take_oversized(server: Server) -> bool:
+            return self._limits.may_take_oversized(server, demand)
 
-        for is_eligible in (fits, may_hold_alone):
+        for is_eligible in (fits, may_take_oversized):
             for candidates in preferences:
                 eligible = [server for server in candidates if is_eligible(server)]
                 if eligible:
@@ -93,7 +92,7 @@
 
     def _least_utilized(self, pool: Iterable[Server], demand: float) -> Server | None:
         # Never a server that is known to warm up: a slice without a server loses its own requests,
-        # an overloaded server those of all its slices.
+        # but an overloaded server loses those of all its slices.
         choices = (
             [server for server in pool if server.health == HEALTHY],
             [server for server in pool if server.health == WARMING_UP and server.start_assumed],
--- a/havendyke/policy/fleet_condition.py
+++ b/havendyke/policy/fleet_condition.py
@@ -1,4 +1,4 @@
-"""Whether the fleet as a whole is overloaded, congested or short of connections."""
+"""Assesses whether the fleet as a whole is overloaded, congested or short of connections."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -7,42 +7,42 @@
 from ..state import Server, middle_of
 from ..state.histogram import latency_position
 
-# Shares of failed attempts. A fleet that is overloaded, or has elevated errors, stays so until the
+# Shares of failed attempts. An overloaded fleet, or one with elevated errors, stays so until the
 # share falls to `RECOVERED_ERROR_RATE`.
-OVERLOADED_ERROR_RATE = 0.06  # of the middle server
+OVERLOADED_ERROR_RATE = 0.06  # of the median server
 ELEVATED_ERROR_RATE = 0.06  # of all attempts
 RECOVERED_ERROR_RATE = 0.02
 COLLAPSED_ERROR_RATE = 0.3  # of all attempts
-# A server is slow from this share of the shortest latency objective on.
+# A server is slow if its latency reaches this share of the shortest latency objective.
 SLOW_SHARE_OF_OBJECTIVE = 0.4
 MIN_SLOW_LATENCY_MS = 9.0
 
 
 @dataclass(slots=True)
 class FleetCondition:
-    """What policy modules ask about the fleet.
+    """The condition of the fleet that policy modules act on.
 
     `FleetMonitor`, `ConnectionMonitor` and `AdmissionController` set it.
     """
 
-    overloaded: bool = False  # the middle server fails
-    congested: bool = False  # the middle server is slow
+    overloaded: bool = False  # the median server fails
+    congested: bool = False  # the median server is slow
     collapsed: bool = False  # congested, and many attempts fail
-    errors_elevated: bool = False  # among all attempts, at any server
-    connections_exhausted: bool = False  # a burst would take every connection a server has
-    # Of the requests; kept for an adjustment after it has risen, until the load that returns shows.
+    errors_elevated: bool = False  # over all attempts at all servers
+    connections_exhausted: bool = False  # a burst would use all connections of a server
+    # Share of requests. An increase takes effect one adjustment late, once its load is reported.
     admitted_share: float = 1.0
     completed_share: float = 1.0  # of all attempts that ended
-    median_in_flight: float = 0.0  # of the middle server, a position of the in-flight histograms
+    median_in_flight: float = 0.0  # over servers, as a position of the in-flight histograms
 
     @property
     def load_shed(self) -> bool:
-        """Whether proxies reject requests, or did until an adjustment ago."""
+        """Whether proxies reject requests, or did until the last adjustment."""
         return self.admitted_share < 1.0
 
 
 class FleetMonitor:
-    """Assesses the condition of the fleet from the reports of all ready servers."""
+    """Assesses the condition of the fleet from the reports on all ready servers."""
 
     def __init__(self, settings: Settings) -> None:
         shortest_ms = min(c.latency_objective_ms for c in settings.request_classes)
@@ -57,21 +57,21 @@
         return (server.latency.median() or 0.0) >= self.slow_position
 
     def assess(self, ready_servers: Sequence[Server]) -> None:
-        """Updates the condition; being overloaded and elevated errors have hysteresis."""
+        """Updates the condition, with hysteresis for overload and elevated errors."""
         condition = self.condition
         condition.median_in_flight = middle_of(
             [server.in_flight.median() or 0.0 for server in ready_servers], 0.0
         )
         outcomes = [server.outcomes.bins for server in ready_servers]
-        # Where the middle server fails too, all are full or cut off: taking traffic off one server
-        # overloads the next.
-        middle_error_rate = middle_of(
+        # If even the median server fails, all are saturated or unreachable, and moving traffic off
+        # one server would overload the next.
+        median_error_rate = middle_of(
             [failed / max(1.0, succeeded + failed) for succeeded, failed in outcomes], 0.0
         )
-        condition.overloaded = middle_error_rate > (
+        condition.overloaded = median_error_rate > (
             RECOVERED_ERROR_RATE if condition.overloaded else OVERLOADED_ERROR_RATE
         )
-        condition.congested = self._middle_latency(ready_servers) >= self.slow_position
+        condition.congested = self._median_latency(ready_servers) >= self.slow_position
         all_failed = sum(failed for _, failed in outcomes)
         attempts = sum(succeeded for succeeded, _ in outcomes) + all_failed
         condition.errors_elevated = all_failed > attempts * (
@@ -80,7 +80,7 @@
         condition.collapsed = condition.congested and all_failed > COLLAPSED_ERROR_RATE * attempts
         condition.completed_share = 1.0 - all_failed / max(1.0, attempts)
 
-    def _middle_latency(self, servers: Iterable[Server]) -> float:
+    def _median_latency(self, servers: Iterable[Server]) -> float:
         latencies = [
             server.latency.median() or 0.0 for server in servers if server.outcomes.bins[0]
         ]
--- a/havendyke/policy/health_checks.py
+++ b/havendyke/policy/health_checks.py
@@ -1,4 +1,4 @@
-"""Schedules health checks: which servers are checked, and when."""
+"""Schedules the health checks of servers."""
 
 from ..interface import SendHealthCheck, Settings
 from ..state import LinearCongruentialGenerator, ObservedState, Server
@@ -6,16 +6,16 @@
 from .tick import TICK_INTERVAL_MS
 
 MIN_CHECK_INTERVAL_MS = 500.0
-# Checks that one server gets from the controllers whose tables name it, together.
+# Checks of one server by all controllers whose tables contain it, together.
 CHECKS_PER_SERVER_PER_S = 5.0
-# A check may stay without a result for this many of the shortest intervals before the next.
+# A check without a result delays the next one by at most this many minimum intervals.
 PENDING_INTERVALS = 4
-# Timers fire up to this much early; a check would wait a whole tick more.
+# Timers may fire this much early; without the slack, a check would wait for another tick.
 TIMER_SLACK_MS = 1
 
 
 class HealthCheckScheduler:
-    """Orders health checks; writes `checked_ms` and `check_pending` of servers."""
+    """Orders health checks at bounded rates; writes `checked_ms` and `check_pending` of servers."""
 
     def __init__(self, settings: Settings, seed: int, pace: MigrationPace) -> None:
         self._enabled = settings.health_checks
@@ -25,19 +25,20 @@
         self._random = LinearCongruentialGenerator(seed)
 
     def due(self, observed: ObservedState) -> list[SendHealthCheck]:
-        """The health checks that are due now."""
+        """Returns the health checks that are due now."""
         if not self._enabled:
             return []
-        # A server is primary of some controllers' slices and standby of about as many others'. The
-        # rate is divided among these; all other controllers together add at most the same again.
-        checkers = float(self._controller_count)
+        # A server is the primary of some controllers' slices, and a standby for about as many
+        # other controllers. These share the rate; the remaining controllers together at most
+        # double it.
+        user_count = float(self._controller_count)
         if self._sliced:
-            checkers = min(self._controller_count, 2.0 * self._pace.controllers_per_server)
-        named = _servers_in_desired_tables(observed)
+            user_count = min(self._controller_count, 2.0 * self._pace.controllers_per_server)
+        used_servers = _servers_in_desired_tables(observed)
         orders = []
         for server in observed.ready_servers():
-            shared_by = checkers if server in named else self._controller_count
-            interval_ms = max(MIN_CHECK_INTERVAL_MS, 1000.0 * shared_by / CHECKS_PER_SERVER_PER_S)
+            sharing = user_count if server in used_servers else self._controller_count
+            interval_ms = max(MIN_CHECK_INTERVAL_MS, 1000.0 * sharing / CHECKS_PER_SERVER_PER_S)
             if self._is_due(server, interval_ms, observed.now_ms):
                 server.checked_ms = observed.now_ms
                 server.check_pending = True
@@ -46,7 +47,7 @@
 
     def _is_due(self, server: Server, interval_ms: float, now_ms: float) -> bool:
         if server.checked_ms is None:
-            # Otherwise all servers would be checked at the same moment.
+            # A random phase, so that the servers are not all checked at the same moment.
             server.checked_ms = now_ms - interval_ms * self._random.draw()
         if server.check_pending:
             wait_ms = max(interval_ms, PENDING_INTERVALS * MIN_CHECK_INTERVAL_MS)
--- a/havendyke/policy/load_limits.py
+++ b/havendyke/policy/load_limits.py
@@ -1,4 +1,4 @@
-"""How much load each server may have, and which of several suits a slice best."""
+"""Limits the load of each server, and ranks servers for a slice by rendezvous hashing."""
 
 from collections.abc import Iterable
 from math import log
@@ -6,16 +6,16 @@
 from ..state import HEALTHY, WARMING_UP, Server, Slice, rendezvous_draw
 from .slow_start import SlowStart
 
-# A server may have this multiple of its fair share.
+# A server may carry this multiple of its fair share.
 MAX_FAIR_SHARES = 1.25
-# Capacities and divisors are raised to this, since a server's capacity may be 0.
+# Lower bound of capacities and divisors, since a server's capacity may be 0.
 MIN_CAPACITY = 1e-6
-# Load per capacity where no server is usable: limits nothing.
+# Load per capacity while no server is usable; sets no limit.
 NO_CAPACITY_LOAD = 1e9
 
 
 class LoadLimits:
-    """Owns `load_per_capacity`: the load of a unit of capacity if all servers were loaded alike.
+    """Owns `load_per_capacity`: the load per unit of capacity at equal utilization of all servers.
 
     Loads are in units of demand.
     """
@@ -25,26 +25,26 @@
         self.load_per_capacity = NO_CAPACITY_LOAD
 
     def update(self, servers: Iterable[Server], total_demand: float) -> None:
-        """Divides the total demand by the capacity that may be used."""
+        """Divides the total demand by the usable capacity."""
         usable = sum(server.capacity for server in servers if server.health >= WARMING_UP)
         self.load_per_capacity = total_demand / usable if usable else NO_CAPACITY_LOAD
 
     def utilization(self, server: Server, additional_load: float = 0.0) -> float:
-        """The server's load, with the additional load, in fair shares."""
+        """Returns the server's load, plus the additional load, in fair shares."""
         load = server.assigned_load + additional_load
         return load / max(self.load_per_capacity * server.capacity, MIN_CAPACITY)
 
     def admissible_load(self, server: Server, fair_shares: float = MAX_FAIR_SHARES) -> float:
-        """The load that the server may have by slow start, or by its fair share."""
+        """Returns the load that the server may carry by slow start, or by its fair share."""
         if server.health == WARMING_UP:
             load = self._slow_start.admissible_load(server)
         else:
             load = fair_shares * self.load_per_capacity * server.capacity
         if server.rounding_offset is None:
             return load
-        # One controller's part of a server is about one slice. Each rounds to whole slices at an
-        # offset of its own; at the same one, all together would overload the server or leave it
-        # empty.
+        # One controller's share of a server is about one slice. Each controller rounds it to whole
+        # slices with an offset of its own; with a common one, all controllers together would
+        # overload the server or leave it empty.
         return int(load + server.rounding_offset)
 
     def fits(self, server: Server, demand: float, fair_shares: float) -> bool:
@@ -54,10 +54,10 @@
             and server.assigned_load + demand <= self.admissible_load(server, fair_shares)
         )
 
-    def may_hold_alone(self, server: Server, demand: float) -> bool:
-        """Whether an unused server may take one slice that exceeds any server's part.
+    def may_take_oversized(self, server: Server, demand: float) -> bool:
+        """Whether an unused server may take one slice that exceeds any server's share.
 
-        Without this exception, all such slices would go to the one largest server.
+        Without this exception, all such slices would go to the largest server.
         """
         return (
             server.health == HEALTHY
@@ -67,5 +67,5 @@
 
 
 def rendezvous_score(slice_: Slice, server: Server) -> float:
-    """Weighted rendezvous hashing: the server with the highest score is chosen."""
+    """Returns the weighted rendezvous score; the server with the highest one is chosen."""
     return -max(server.capacity, MIN_CAPACITY) / log(rendezvous_draw(slice_, server))
--- a/havendyke/policy/migration.py
+++ b/havendyke/policy/migration.py
@@ -3,23 +3,23 @@
 from ..state import HEALTHY, Server, Slice
 from .demand import demand_of
 
-# A weight up to this is one that a snapshot has rounded to nothing; a primary needs a larger one.
+# A snapshot may have rounded a weight to about 0; a primary needs one above this.
 MIN_WEIGHT = 1e-6
 PRIMARY_WEIGHT = 1.0
-# Migrations; the planner replaces it before the first that is limited.
+# Migrations; the planner replaces it before it first limits any.
 INITIAL_BUDGET = 9.0
 
 
 class SliceMigrator:
-    """Changes the primary server of slices, and counts each migration against a budget."""
+    """Changes the primary server of slices, and charges each migration to a budget."""
 
     def __init__(self) -> None:
-        # Migrations that the push has room for. The planner sets it after failover, which it does
-        # not limit; restoring ejected servers ignores it and may take it below 0.
+        # Migrations that still fit into the push. The planner sets it after failover, which it does
+        # not limit. Restoring ejected servers ignores it and may make it negative.
         self.budget = INITIAL_BUDGET
 
     def migrate(self, slice_: Slice, target: Server | None, now_ms: float) -> None:
-        """Makes `target` the primary; None leaves the slice without a server."""
+        """Makes `target` the primary; with None, the slice has no server."""
         self.budget -= 1
         source = slice_.primary()
         demand = demand_of(slice_)
@@ -40,7 +40,8 @@
 ) -> dict[Server, float]:
     if target is None:
         return {}
-    # A standby that takes over keeps its weight: each entry saved covers another slice in time.
+    # A standby that takes over keeps its weight: each entry saved lets the push change another
+    # slice in time.
     weight = slice_.desired.get(target, slice_.published.get(target, 0.0))
     if weight <= MIN_WEIGHT:
         weight = PRIMARY_WEIGHT
--- a/havendyke/policy/observation_decay.py
+++ b/havendyke/policy/observation_decay.py
@@ -1,11 +1,11 @@
-"""How fast observations are forgotten."""
+"""Decay of observations, so that recent ones outweigh earlier ones."""
 
 from ..state import ObservedState
 from ..state.fleet_capacity import FleetCapacity
 from ..state.server import NEVER_MS
 
 HALVING_INTERVAL_MS = 2_500.0
-# Factors of a peak at each halving: a smaller fleet or zone becomes the peak within minutes.
+# Applied to a peak at each halving, so that it follows a shrinking fleet or zone within minutes.
 FLEET_PEAK_DECAY_FACTOR = 0.98
 ZONE_PEAK_DECAY_FACTOR = 0.95
 
@@ -17,7 +17,7 @@
         self._halved_ms = NEVER_MS
 
     def run(self, observed: ObservedState, fleet_capacity: FleetCapacity) -> None:
-        """Halves and lowers everything, where the interval is over by the observed state's time."""
+        """Decays all observations if the interval has elapsed."""
         if observed.now_ms < self._halved_ms + HALVING_INTERVAL_MS:
             return
         self._halved_ms = observed.now_ms
--- a/havendyke/policy/outlier_detection.py
+++ b/havendyke/policy/outlier_detection.py
@@ -1,7 +1,8 @@
-"""Outlier detection: which servers are unhealthy, and for how long.
+"""Outlier detection: marks servers unhealthy for an ejection time.
 
-A server is an outlier by refused connections, by unanswered checks, or by failed attempts that
-nothing else explains. An unhealthy server gets no new slices until its ejection time is over.
+A server is an outlier because of refused connections, unanswered health checks, or failed attempts
+that overload and exhausted connections do not explain. An unhealthy server gets no new slices until
+its ejection time is over.
 """
 
 from collections.abc import Sequence
@@ -13,22 +14,22 @@
 
 CONSECUTIVE_CONNECT_FAILURES = 2
 CONSECUTIVE_UNANSWERED_CHECKS = 3
-# A saturated server answers late: this many times as many of its checks must stay unanswered.
+# A saturated server answers late, so this many times as many unanswered checks are required.
 SATURATED_CHECK_FACTOR = 5
-# A success is recent for this many report intervals.
+# A success counts as recent for this many report intervals.
 RECENT_SUCCESS_INTERVALS = 1.6
-# Successes overdue by the server's earlier rate, from which on its silence is not by chance.
-MISSED_SUCCESSES = 2.0
+# Successes overdue at the server's previous rate; fewer may be missing by chance.
+MIN_MISSED_SUCCESSES = 2.0
 OUTLIER_ERROR_RATE = 0.3
 MIN_ATTEMPTS = 6.0
 BASE_EJECTION_TIME_MS = 5_000.0
 MAX_EJECTION_TIME_MS = 20_000.0
-# Positions of the in-flight histograms above the usual, from which a server counts as saturated.
+# Positions of the in-flight histograms above the fleet's median at which a server is saturated.
 SATURATED_IN_FLIGHT_MARGIN = 2
 
 
 class OutlierDetector:
-    """Marks servers unhealthy, and lifts the mark once their ejection time is over.
+    """Marks outliers unhealthy, and removes the mark after their ejection time.
 
     Writes `unhealthy_until_ms`, `ejection_time_ms`, `failing` and `recovering` of servers.
     """
@@ -39,10 +40,10 @@
 
     @staticmethod
     def reaches_threshold(result: HealthCheckResult) -> bool:
-        """Whether a health check, once applied, may make its server an outlier.
+        """Whether this result, already applied, may make its server an outlier.
 
-        Such a result is worth a reconciliation at once; one for each late answer of a large fleet
-        would take a whole core.
+        Only such a result triggers an immediate reconciliation: one for each late answer in a large
+        fleet would occupy a whole core.
         """
         server = result.server
         return (
@@ -61,11 +62,11 @@
     def evaluate(
         self, ready_servers: Sequence[Server], now_ms: float, last_success_ms: float
     ) -> None:
-        """Updates every ready server; `last_success_ms` is the last success of any server."""
+        """Updates every ready server; `last_success_ms` is the latest success at any server."""
         outliers = [
             server for server in ready_servers if self._is_outlier(server, now_ms, last_success_ms)
         ]
-        # More than half at once points to this controller's own partition or stall, or to overload.
+        # A majority indicates a partition or stall of this controller, or overload.
         if 2 * len(outliers) > len(ready_servers):
             return
         for server in outliers:
@@ -74,7 +75,7 @@
 
     @staticmethod
     def _eject(server: Server, now_ms: float) -> None:
-        # Doubled each time: a server that is ejected again was readmitted too early.
+        # Doubled each time, since a server that is ejected again was readmitted too early.
         server.ejection_time_ms = min(
             max(2 * server.ejection_time_ms, BASE_EJECTION_TIME_MS), MAX_EJECTION_TIME_MS
         )
@@ -93,7 +94,7 @@
             server.unhealthy_until_ms is not None
             or server.consecutive_connect_failures >= CONSECUTIVE_CONNECT_FAILURES
             or self._is_unresponsive(server, now_ms, last_success_ms)
-            or (server.failing and self._failures_are_its_own(server, now_ms))
+            or (server.failing and self._has_own_failures(server, now_ms))
         )
 
     @staticmethod
@@ -104,9 +105,9 @@
             and not server.consecutive_connect_failures + server.unanswered_checks
         )
 
-    def _failures_are_its_own(self, server: Server, now_ms: float) -> bool:
-        # A full server fails too, but answers slowly: its slices would overload the next one. So
-        # does a server without a free connection: its slices would take those of the next one.
+    def _has_own_failures(self, server: Server, now_ms: float) -> bool:
+        # A saturated server fails too, but with high latency; its slices would overload the next
+        # server. So does one without free connections; its slices would exhaust the next one's.
         condition = self._fleet.condition
         zone_lost_now = server.zone_lost_ms == now_ms
         saturated = self._fleet.is_slow(server) and not zone_lost_now
@@ -115,7 +116,8 @@
     def _is_unresponsive(self, server: Server, now_ms: float, last_success_ms: float) -> bool:
         if server.unanswered_checks < CONSECUTIVE_UNANSWERED_CHECKS:
             return False
-        # Unanswered checks count only while other servers succeed: the fault may be on this side.
+        # Unanswered checks count only while other servers succeed, since the controller's own
+        # network may be at fault.
         recent_ms = RECENT_SUCCESS_INTERVALS * self._report_interval_ms
         if not now_ms - last_success_ms < recent_ms < now_ms - server.last_success_ms:
             return False
@@ -128,15 +130,15 @@
         condition = self._fleet.condition
         if condition.overloaded:
             return True
-        # The outcomes are those of 1.5 halving intervals on average.
+        # The histogram of outcomes covers 1.5 halving intervals on average.
         missed = (
             server.outcomes.bins[0]
             * (now_ms - server.last_success_ms)
             / (1.5 * HALVING_INTERVAL_MS)
         )
-        if missed < MISSED_SUCCESSES:
+        if missed < MIN_MISSED_SUCCESSES:
             return True
-        # Distant servers answer late as well, but hold no more requests than others.
+        # Distant servers are slow as well, but have no more requests in flight than others.
         in_flight = server.in_flight.median()
         return self._fleet.is_slow(server) and (
             in_flight is None or in_flight > condition.median_in_flight + SATURATED_IN_FLIGHT_MARGIN
--- a/havendyke/policy/pacing.py
+++ b/havendyke/policy/pacing.py
@@ -1,4 +1,4 @@
-"""How often slices may migrate, while other controllers migrate slices at the same servers."""
+"""Paces migrations: slices settle first, and controllers share the migrations of a server."""
 
 from collections.abc import Iterable
 
@@ -11,7 +11,7 @@
 
 
 class MigrationPace:
-    """Knows which pushes are in force, and how many controllers have slices at one server."""
+    """Tracks which pushes have settled, and how many controllers have slices on one server."""
 
     def __init__(self, settings: Settings) -> None:
         self._slice_count = settings.slice_count
@@ -20,13 +20,13 @@
         self.controllers_per_server = 1.0
 
     def update(self, proxies: Iterable[Proxy], ready_server_count: int) -> None:
-        """Takes note of the acknowledgements and of the size of the fleet."""
+        """Updates both from the acknowledgements and the size of the fleet."""
         self._settled_push = acknowledged_by(proxies, SETTLED_TRAFFIC_SHARE)
         slices_per_server = self._slice_count / max(ready_server_count, 1)
         self.controllers_per_server = min(self._controller_count, max(1.0, slices_per_server))
 
     def is_settled(self, slice_: Slice) -> bool:
-        """Whether the slice's last change is in force, so that it may migrate again."""
+        """Whether the slice's last change has taken effect, so that it may migrate again."""
         if slice_.last_push is None:
             return slice_.desired == slice_.published
         return slice_.last_push <= self._settled_push
--- a/havendyke/policy/push_scheduler.py
+++ b/havendyke/policy/push_scheduler.py
@@ -1,6 +1,7 @@
-"""Pushes: when the difference between desired and published tables leaves, and how much of it.
+"""Schedules pushes: when changes of tables are sent, and how many of them in one push.
 
-Changes are gathered into at most one push an interval, with one nonce that the proxies acknowledge.
+Changes are batched into one push per interval; urgent ones may be sent after half of it, unless
+messages are limited. Proxies acknowledge a push by its nonce.
 """
 
 from collections.abc import Sequence
@@ -13,27 +14,29 @@
 from .push_budget import PushBudget, PushCosts
 from .shared_tables import SharedTables
 from .table_diff import (
-    LEAST_URGENT_BEYOND_BUDGET,
     LEAST_URGENT_EXPEDITED,
+    LEAST_URGENT_USING_RESERVE,
     TableDiff,
     change_priority,
     has_usable_endpoint,
     urgency,
 )
 
-# The channel may be this many times slower than its stated rate.
+# The channel may be slower than its stated rate by up to this factor.
 MAX_CHANNEL_SLOWDOWN = 8.0
-# Where messages are limited, an interval is this much longer than the limit asks for.
+# With a message limit, push intervals exceed the shortest permitted one by this factor.
 MESSAGE_LIMIT_MARGIN = 1.1
-# Exclusive ownership waits for every acknowledgement: one that is missing for this long is
-# requested again.
-REPEAT_ACKNOWLEDGEMENT_MS = 3_000.0
+# Exclusive ownership needs every acknowledgement; a missing one is requested again after this time.
+ACKNOWLEDGEMENT_RETRY_MS = 3_000.0
 # A proxy that connects within this time after a push may have received it.
 PUSH_RACE_WINDOW_MS = 100.0
 
 
 class PushScheduler:
-    """The one place where differences become orders; writes published tables of slices."""
+    """Turns the difference between desired and published tables into orders.
+
+    Writes the published tables of slices.
+    """
 
     def __init__(self, settings: Settings, costs: PushCosts, shared_tables: SharedTables) -> None:
         self._exclusive = settings.exclusive_ownership
@@ -56,7 +59,7 @@
         self._next_expedited_push_ms = NEVER_MS
 
     def add_racing_recipient(self, proxy: Proxy, observed: ObservedState) -> None:
-        """A proxy that connects may have received a push that was just sent."""
+        """Makes a proxy that just connected a recipient of the pushes it may have received."""
         if not self._exclusive:
             return
         for push in observed.channel.pushes:
@@ -64,7 +67,10 @@
                 push.add_recipient(proxy)
 
     def emit(self, observed: ObservedState, admission: list[SetAdmission]) -> list[Order]:
-        """The orders of the next push, the last one asking for acknowledgement; else none."""
+        """Returns the orders of the next push, or none while no push is due.
+
+        The last order requests an acknowledgement.
+        """
         now_ms = observed.now_ms
         if now_ms < self._next_expedited_push_ms or not observed.channel.connected:
             return []
@@ -72,23 +78,23 @@
         expedited = now_ms < self._next_push_ms
         changed = self._changed_slices(observed, expedited)
         budget = self._budget(observed, len(connected))
-        if not self._is_worth_a_push(changed, budget, expedited):
+        if not self._should_push(changed, budget, expedited):
             return []
-        push = self._begin_push(observed, connected)
+        push = self._create_push(observed, connected)
         orders: list[Order] = []
         if connected:
             orders += self._admission_orders(admission, budget)
         self._add_table_orders(orders, observed, changed, budget, push)
         if not self._sliced:
             self._add_bindings(orders, connected, budget)
-        ask_all = self._misses_acknowledgement(observed, connected)
-        if not orders and not ask_all:
+        request_from_all = self._lacks_acknowledgement(observed, connected)
+        if not orders and not request_from_all:
             return []
-        self._send(observed, push, len(orders), expedited)
-        return [*orders, RequestAcknowledgement(push.nonce, ask_all)]
+        self._record_push(observed, push, len(orders), expedited)
+        return [*orders, RequestAcknowledgement(push.nonce, request_from_all)]
 
     def _changed_slices(self, observed: ObservedState, expedited: bool) -> list[Slice]:
-        """Slices to publish; expedited are only those whose drain, or empty table, cannot wait."""
+        """Returns the slices to publish; if expedited, only those with a drain or no endpoint."""
         return [
             slice_
             for slice_ in observed.slices
@@ -103,19 +109,17 @@
         )
         return self.costs.budget(proxy_count, queued)
 
-    def _is_worth_a_push(
-        self, changed: Sequence[Slice], budget: PushBudget, expedited: bool
-    ) -> bool:
+    def _should_push(self, changed: Sequence[Slice], budget: PushBudget, expedited: bool) -> bool:
         urgent = expedited or any(urgency(slice_) <= LEAST_URGENT_EXPEDITED for slice_ in changed)
         room = budget.urgent if urgent else budget.ordinary
-        # A full channel is not spent on the overhead of messages that bring one entry each.
+        # A nearly full channel is not filled with messages whose overhead exceeds their entries.
         if room < min(self.costs.message_overhead, 1 + len(changed)):
             return False
         return bool(changed) or not expedited
 
-    def _begin_push(self, observed: ObservedState, connected: Sequence[Proxy]) -> Push:
+    def _create_push(self, observed: ObservedState, connected: Sequence[Proxy]) -> Push:
         now_ms = observed.now_ms
-        # A proxy that disconnected before uses what it holds until its lease ends.
+        # A proxy that disconnected earlier keeps using its tables until its lease ends.
         settled_ms = max(now_ms, observed.last_disconnect_ms + self._lease_ms)
         return Push(observed.channel.last_serial + 1, 0, set(connected), now_ms, settled_ms)
 
@@ -136,13 +140,14 @@
         budget: PushBudget,
         push: Push,
     ) -> None:
-        # Slices that no endpoint covers come first, so that ejections find them covered.
-        uncovered = [
+        # Slices without a usable endpoint come first: a server is only ejected once all of its
+        # slices have another one.
+        without_endpoint = [
             slice_
             for slice_ in changed
-            if urgency(slice_) <= LEAST_URGENT_BEYOND_BUDGET and not has_usable_endpoint(slice_)
+            if urgency(slice_) <= LEAST_URGENT_USING_RESERVE and not has_usable_endpoint(slice_)
         ]
-        for slices, confirm in ((uncovered, False), (changed, True)):
+        for slices, confirm in ((without_endpoint, False), (changed, True)):
             orders += self._ejection.orders(
                 observed.servers, observed.slices, push.sent_ms, budget, len(orders), confirm
             )
@@ -153,14 +158,14 @@
         self, orders: list[Order], slice_: Slice, budget: PushBudget, push: Push
     ) -> None:
         change = self._diff.change(slice_, push.sent_ms)
-        urgent = urgency(slice_) <= LEAST_URGENT_BEYOND_BUDGET
+        urgent = urgency(slice_) <= LEAST_URGENT_USING_RESERVE
         room = budget.urgent if urgent else budget.ordinary
         if not change.orders or len(orders) + len(change.orders) > room:
             return
         orders += change.orders
         slice_.published = change.published
         slice_.last_push = push.serial
-        # Kept apart from `last_push`, which a new choice of the primary resets.
+        # Recorded besides `last_push`, which a migration resets.
         slice_.cleared_by = None if change.published else push
 
     def _add_bindings(
@@ -172,27 +177,30 @@
                 proxy.bound = True
                 orders += self._shared_tables.bindings(proxy)
 
-    def _misses_acknowledgement(self, observed: ObservedState, connected: Sequence[Proxy]) -> bool:
-        """Whether a proxy lacks an acknowledgement that no push has requested from it.
+    def _lacks_acknowledgement(self, observed: ObservedState, connected: Sequence[Proxy]) -> bool:
+        """Whether a proxy has yet to acknowledge the last push, and no push requested it from it.
 
-        A proxy that reconnected holds the published tables, but only its acknowledgement shows it:
-        without one its slices would never settle.
+        A reconnected proxy has the published tables, but only its acknowledgement confirms that;
+        without one, no slice would ever count as settled.
         """
         channel = observed.channel
-        asked_after_ms = NEVER_MS
+        requested_after_ms = NEVER_MS
         if self._exclusive:
-            asked_after_ms = observed.now_ms - REPEAT_ACKNOWLEDGEMENT_MS
-        asked = {
+            requested_after_ms = observed.now_ms - ACKNOWLEDGEMENT_RETRY_MS
+        requested = {
             proxy
             for push in channel.pushes
-            if push.sent_ms > asked_after_ms
+            if push.sent_ms > requested_after_ms
             for proxy in push.awaiting
         }
         return any(
-            proxy.acknowledged < channel.last_serial and proxy not in asked for proxy in connected
+            proxy.acknowledged < channel.last_serial and proxy not in requested
+            for proxy in connected
         )
 
-    def _send(self, observed: ObservedState, push: Push, order_count: int, expedited: bool) -> None:
+    def _record_push(
+        self, observed: ObservedState, push: Push, order_count: int, expedited: bool
+    ) -> None:
         push.entries_per_proxy = (
             order_count + 1 + self.costs.message_overhead + len(self._published_admission)
         )
--- a/havendyke/policy/rebalancer.py
+++ b/havendyke/policy/rebalancer.py
@@ -1,4 +1,4 @@
-"""Rebalancing: moves slices from overloaded servers to underloaded ones."""
+"""Rebalancing: migrates slices from overloaded servers to underloaded ones."""
 
 from collections.abc import Iterable, Sequence
 
@@ -12,23 +12,23 @@
 from .outlier_detection import RECENT_SUCCESS_INTERVALS
 from .pacing import PUSH_INTERVAL_MS, MigrationPace
 
-# A server's interval as source or target: a migration shows in the load reports after it.
+# Between migrations with the same source or target, so that load reports show the first one.
 SERVER_MIGRATION_INTERVAL_MS = 5_000.0
 SLICE_MIGRATION_INTERVAL_MS = 8_000.0
-# Report intervals for which a server must be overloaded.
+# Consecutive report intervals in which a server must be overloaded to become a source.
 MIN_OVERLOADED_INTERVALS = 2
 OVERLOADED_UTILIZATION = 1.5  # fair shares
 # Latencies as multiples of the fleet's median.
 OVERLOADED_RELATIVE_LATENCY = 1.6
 AVERAGE_RELATIVE_LATENCY = 0.9
 UNDERLOADED_RELATIVE_LATENCY = 1.1
-# All controllers see the same best targets, so each draws among this many of them for each
-# controller.
+# All controllers rank targets alike. To spread their choices, each draws among the best targets,
+# this many for each controller.
 TARGETS_PER_CONTROLLER = 2
 
 
 class Rebalancer:
-    """Finds overloaded servers over several report intervals, and moves one slice off each.
+    """Migrates one slice at a time off servers overloaded for several report intervals.
 
     Writes `overloaded_intervals` and `released_slice_ms` of servers.
     """
@@ -59,9 +59,9 @@
         last_success_ms: float,
         demand_observed: bool,
     ) -> None:
-        """Moves at most one slice off each overloaded server."""
+        """Migrates at most one slice off each overloaded server."""
         self._count_overloaded_intervals(servers, now_ms)
-        # Without recent load reports, the latencies are outdated.
+        # Without recent load reports, latencies are outdated.
         max_age_ms = 2 * RECENT_SUCCESS_INTERVALS * self._report_interval_ms
         if not demand_observed or now_ms - last_success_ms > max_age_ms:
             return
@@ -69,7 +69,7 @@
         targets = [server for server in servers if self._is_target(server, now_ms)]
         sources.sort(key=lambda s: -max(s.relative_latency, self._limits.utilization(s)))
         for source in sources:
-            target = self._release_one_slice(source, targets, now_ms)
+            target = self._migrate_one_slice(source, targets, now_ms)
             if target is not None:
                 targets = [server for server in targets if server not in (target, source)]
 
@@ -84,8 +84,8 @@
     def _is_overloaded(self, server: Server) -> bool:
         if server.relative_latency > OVERLOADED_RELATIVE_LATENCY:
             return True
-        # Demand shows an overloaded server seconds before its latency does; without stated sizes a
-        # server's part of the demand does not show how full it is.
+        # Demand reveals overload seconds before latency does. Without stated sizes, a server's
+        # share of the demand does not reflect its utilization.
         return (
             self._sizes_stated
             and server.relative_latency > AVERAGE_RELATIVE_LATENCY
@@ -93,23 +93,23 @@
         )
 
     def _is_source(self, server: Server, now_ms: float) -> bool:
-        # A server that is slower than others but within the objectives keeps its slices: a
+        # A server that is slower than others but meets the latency objectives keeps its slices: a
         # migration costs cold caches, and connections at both servers until the old ones close.
         if server.overloaded_intervals < MIN_OVERLOADED_INTERVALS or not self._fleet.is_slow(
             server
         ):
             return False
-        # One that fails beside a healthy fleet works on requests that clients have abandoned: it
-        # may release a slice with each push. 1 ms less, since a timer may fire early.
+        # A server that fails in an otherwise healthy fleet works on requests that clients have
+        # abandoned, so it may release a slice with each push. 1 ms less, as timers may fire early.
         congested_alone = server.failing and not self._fleet.condition.overloaded
         interval_ms = PUSH_INTERVAL_MS - 1 if congested_alone else SERVER_MIGRATION_INTERVAL_MS
-        # All controllers that hold slices of the server share its interval.
-        shared_ms = self._pace.controllers_per_server * interval_ms
-        return now_ms - server.released_slice_ms > shared_ms
+        # The limit applies to all controllers with slices on the server together.
+        own_interval_ms = self._pace.controllers_per_server * interval_ms
+        return now_ms - server.released_slice_ms > own_interval_ms
 
     def _is_target(self, server: Server, now_ms: float) -> bool:
-        # A server that this controller hardly uses is seldom reported, yet may be full of slices of
-        # others: the requests in flight that it reports must not exceed the usual.
+        # A server that this controller hardly uses appears in few load reports, yet may be loaded
+        # by slices of other controllers: its requests in flight must not exceed the median.
         return (
             server.health == HEALTHY
             and not server.ejected
@@ -119,15 +119,17 @@
             > SERVER_MIGRATION_INTERVAL_MS * self._pace.controllers_per_server
         )
 
-    def _release_one_slice(
+    def _migrate_one_slice(
         self, source: Server, targets: Sequence[Server], now_ms: float
     ) -> Server | None:
         for slice_ in sorted(source.assigned_slices, key=lambda slice_: -demand_of(slice_)):
             if not self._may_migrate(slice_, now_ms):
                 continue
-            fitting = [t for t in targets if self._suits(source, t, demand_of(slice_))]
-            if fitting:
-                target = self._draw_target(fitting, demand_of(slice_))
+            suitable = [
+                t for t in targets if self._is_suitable_target(source, t, demand_of(slice_))
+            ]
+            if suitable:
+                target = self._choose_target(suitable, demand_of(slice_))
                 self._migrator.migrate(slice_, target, now_ms)
                 source.released_slice_ms = now_ms
                 return target
@@ -140,7 +142,7 @@
             and self._migrator.budget > 0
         )
 
-    def _suits(self, source: Server, target: Server, demand: float) -> bool:
+    def _is_suitable_target(self, source: Server, target: Server, demand: float) -> bool:
         return (
             target is not source
             and target.relative_latency < source.relative_latency
@@ -151,11 +153,11 @@
             )
         )
 
-    def _draw_target(self, fitting: Sequence[Server], demand: float) -> Server:
+    def _choose_target(self, suitable: Sequence[Server], demand: float) -> Server:
         def cost(server: Server) -> float:
             latency = 1.0 if self._sizes_stated else server.relative_latency
             return self._limits.utilization(server, demand) * latency
 
-        best = sorted(fitting, key=cost)
-        choices = min(TARGETS_PER_CONTROLLER * self._controller_count, len(best))
-        return best[int(choices * self._random.draw())]
+        ranked = sorted(suitable, key=cost)
+        choices = min(TARGETS_PER_CONTROLLER * self._controller_count, len(ranked))
+        return ranked[int(choices * self._random.draw())]
--- a/havendyke/policy/recovery_ramp.py
+++ b/havendyke/policy/recovery_ramp.py
@@ -1,4 +1,4 @@
-"""Recovery ramp: servers that return get slices again, step by step."""
+"""Recovery ramp: gradually returns slices to servers that have recovered."""
 
 from collections.abc import Sequence
 
@@ -8,10 +8,11 @@
 from .migration import SliceMigrator
 from .pacing import PUSH_INTERVAL_MS, MigrationPace
 
-# From this share of a slice's traffic on, an ejected server would be its primary if unejected.
+# A slice is restored to an ejected server that, once unejected, would get more than this share of
+# its traffic.
 PRIMARY_SHARE = 0.9
 RECOVERED_UTILIZATION = 0.8  # fair shares
-# A target is filled up to the first, a source is not drawn below the second.
+# A target is filled up to the first, a source keeps at least the second.
 TARGET_FAIR_SHARES = 0.9
 SOURCE_FAIR_SHARES = 1.05
 
@@ -29,7 +30,7 @@
     ) -> None:
         """Assigns usable ejected servers those of their published slices that fit.
 
-        Their entries are still published; publishing them elsewhere and back takes too long.
+        Their entries are still published; publishing others and then these again takes too long.
         """
         for server in servers:
             if not server.ejected or server.health < WARMING_UP:
@@ -39,9 +40,9 @@
                     self._migrator.migrate(slice_, server, now_ms)
 
     def ramp_up(self, slices: Sequence[Slice], servers: Sequence[Server], now_ms: float) -> None:
-        """Each recovering server gets one slice a push.
+        """Assigns each recovering server one slice per push.
 
-        Rebalancing would be far too slow: it acts only on overloaded sources.
+        Rebalancing alone would be far too slow, since it acts only on overloaded sources.
         """
         recovering = [
             server
@@ -57,18 +58,18 @@
             (s for s in recovering if now_ms - s.received_slice_ms >= PUSH_INTERVAL_MS),
             key=self._limits.utilization,
         )
-        # Searched once for all targets, since a release brings many.
-        available = self._slices_to_give(slices) if targets else []
+        # Searched once for all targets, since a release brings many of them.
+        available = self._spare_slices(slices) if targets else []
         for target in targets:
-            self._give_one_slice(available, target, now_ms)
+            self._assign_one_slice(available, target, now_ms)
 
-    def _slices_to_give(self, slices: Sequence[Slice]) -> list[Slice]:
-        """Slices that their primary can spare, those of the most utilized server first.
+    def _spare_slices(self, slices: Sequence[Slice]) -> list[Slice]:
+        """Returns slices that their primary can spare, those of the most utilized server first.
 
-        Not those of servers that warm up: failover limits these to what they may have, and at the
-        other server the slice's cache would be cold again.
+        Excludes slices of servers that warm up: failover already limits their load, and after the
+        migration the slice's cache would be cold again.
         """
-        found = []
+        ranked = []
         for slice_ in slices:
             primary = slice_.primary()
             if (
@@ -77,11 +78,11 @@
                 and self._pace.is_settled(slice_)
                 and self._can_spare(primary, slice_)
             ):
-                found.append((-self._limits.utilization(primary), -demand_of(slice_), slice_))
-        found.sort(key=lambda entry: entry[:2])
-        return [slice_ for _, _, slice_ in found]
+                ranked.append((-self._limits.utilization(primary), -demand_of(slice_), slice_))
+        ranked.sort(key=lambda entry: entry[:2])
+        return [slice_ for _, _, slice_ in ranked]
 
-    def _give_one_slice(self, available: list[Slice], target: Server, now_ms: float) -> None:
+    def _assign_one_slice(self, available: list[Slice], target: Server, now_ms: float) -> None:
         if self._migrator.budget <= 0:
             return
         for slice_ in available:
@@ -97,9 +98,9 @@
                 return
 
     def _can_spare(self, source: Server, slice_: Slice) -> bool:
-        shares = SOURCE_FAIR_SHARES if source.rounding_offset is None else 1.0
-        remaining = source.assigned_load - demand_of(slice_)
-        return remaining >= self._limits.admissible_load(source, shares)
+        fair_shares = SOURCE_FAIR_SHARES if source.rounding_offset is None else 1.0
+        remaining_load = source.assigned_load - demand_of(slice_)
+        return remaining_load >= self._limits.admissible_load(source, fair_shares)
 
 
 def _slices_to_restore(slices: Sequence[Slice], server: Server) -> list[Slice]:
--- a/havendyke/policy/server_capacity.py
+++ b/havendyke/policy/server_capacity.py
@@ -1,4 +1,4 @@
-"""What each server can carry now, and its health state."""
+"""Estimates the current capacity and the health state of each server."""
 
 from collections.abc import Iterable, Sequence
 
@@ -7,14 +7,14 @@
 from ..state.histogram import ratio
 from .fleet_condition import FleetMonitor
 
-# How far relative latency may raise or lower a capacity. Without stated sizes a fast server may be
-# a small one, so that its latency counts for less.
+# Bounds of the relative latency by which a capacity is divided. They are narrower without stated
+# sizes, since a fast server may then be a small one.
 STATED_SIZE_BOUNDS = (0.5, 1.6)
 UNSTATED_SIZE_BOUNDS = (0.75, 1.35)
-# The guaranteed capacity of a slow server is divided by at most this.
+# The guaranteed capacity of a slow server is divided by up to this.
 MAX_GUARANTEE_REDUCTION = 3.0
-# A cached endpoint list may lack servers that published tables name: they stay usable until a
-# current list comes, at most for this long after the controller's start.
+# A cached endpoint list may lack servers of published tables. They stay usable until a current list
+# arrives, but no longer than this after the controller's start.
 CACHED_LIST_TRUST_MS = 3_000.0
 
 
@@ -35,7 +35,7 @@
         now_ms: float,
         list_is_current: bool,
     ) -> None:
-        """Updates every server; without a current endpoint list, unlisted servers stay usable."""
+        """Updates every server; unlisted ones stay usable until the endpoint list is current."""
         medians = [m for s in ready_servers if (m := s.latency.median()) is not None]
         fleet_median = middle_of(medians, None)
         for server in servers:
@@ -54,14 +54,14 @@
         server.relative_latency = latency
         bounded = max(self._min_latency_ratio, min(self._max_latency_ratio, latency))
         server.capacity = server.size * progress / bounded
-        # Never raised for a low latency: beside a congested fleet a warming-up server looks fast.
-        # One that is slow, by the median or by the objectives, is close to overload.
+        # Low latency does not raise it: a server that warms up beside a congested fleet seems fast.
+        # A server that is slow, by the median or by the objectives, is close to overload.
         reduction = max(1.0, min(MAX_GUARANTEE_REDUCTION, max(latency, slowness)))
         server.guaranteed_capacity = server.size * progress / reduction
 
 
 def _health(server: Server, progress: float, list_is_current: bool) -> HealthState:
-    # A published table may name a server that a cached endpoint list lacks.
+    # A published table may contain a server that a cached endpoint list lacks.
     unlisted = server.state is None
     if (unlisted and list_is_current) or not (unlisted or server.is_ready):
         return UNAVAILABLE
--- a/havendyke/policy/shared_tables.py
+++ b/havendyke/policy/shared_tables.py
@@ -1,22 +1,26 @@
-"""Tables of deployments without slices: one for all request classes, one a zone for zonal ones."""
+"""Tables for deployments without slices.
+
+One table serves all request classes; one per zone serves the classes limited to their own zone.
+"""
 
 from collections.abc import Iterable
 
 from ..interface import BindTable, Settings
 from ..state import HEALTHY, UNAVAILABLE, WARMING_UP, ObservedState, Proxy, Server
 
-# Weights are eighths of a server's size, so that small changes of capacity cost no push.
+# Weights are multiples of an eighth of a server's size, so that small changes of capacity cause no
+# push.
 WEIGHT_STEPS = 8
-# A server that warms up is in the tables once its guaranteed capacity exceeds this share of its
-# size.
+# A server that warms up is added to the tables once its guaranteed capacity exceeds this share of
+# its size.
 MIN_WARM_UP_SHARE = 0.3
 
 
 class SharedTables:
-    """Fills and binds the tables of a deployment without slices.
+    """Fills the tables of a deployment without slices, and binds them to proxies.
 
-    The observed state's first slices are these tables then. A load report may name further ones,
-    which are filled alike but bound to no proxy.
+    These tables are the first slices of the observed state. Load reports may add further slices,
+    which are filled the same way but bound to no proxy.
     """
 
     def __init__(self, settings: Settings, observed: ObservedState) -> None:
@@ -33,19 +37,19 @@
 
     @property
     def entry_count(self) -> int:
-        """The desired entries of all tables."""
+        """The number of desired entries in all tables."""
         return sum(len(table.desired) for table in self._slices)
 
     def plan(self, servers: Iterable[Server]) -> None:
-        """Fills the tables with all servers that may be used, by capacity in coarse steps."""
+        """Fills the tables with all usable servers, weighted by capacity in coarse steps."""
         usable = [server for server in servers if server.health > UNAVAILABLE]
         for table in self._slices:
             in_zone = [server for server in usable if table.zone in (None, server.zone)]
-            chosen = [server for server in in_zone if _takes_part(server)] or in_zone
-            table.desired = {server: _weight(server) for server in chosen}
+            preferred = [server for server in in_zone if _is_preferred(server)] or in_zone
+            table.desired = {server: _weight(server) for server in preferred}
 
     def bindings(self, proxy: Proxy) -> list[BindTable]:
-        """The orders that bind a proxy to its tables."""
+        """Returns the orders that bind a proxy to its tables."""
         bindings = [BindTable(proxy, self._slices[0], ())]
         if self._zonal_classes:
             for table in self._slices[1 + proxy.zone : 2 + proxy.zone]:
@@ -53,13 +57,13 @@
         return bindings
 
 
-def _add_table(observed: ObservedState, ident: int, zone: int | None) -> None:
-    table = observed.add_slice(ident)
+def _add_table(observed: ObservedState, table_id: int, zone: int | None) -> None:
+    table = observed.add_slice(table_id)
     table.assigned = True
     table.zone = zone
 
 
-def _takes_part(server: Server) -> bool:
+def _is_preferred(server: Server) -> bool:
     return server.health == HEALTHY or (
         server.health == WARMING_UP and server.guaranteed_capacity > MIN_WARM_UP_SHARE * server.size
     )
--- a/havendyke/policy/slow_start.py
+++ b/havendyke/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how much load a server may get while it warms up."""
+"""Slow start: limits the load of a server while it warms up."""
 
 from collections.abc import Iterable
 
@@ -7,18 +7,18 @@
 from ..state.fleet_capacity import FleetCapacity
 from .fleet_condition import FleetCondition
 
-# Shares of the load at which a server that warms up fails.
+# Shares of the load at which a server that warms up fails; the second while estimates are unsafe.
 OVERLOAD_SHARE = 0.75
 CAUTIOUS_OVERLOAD_SHARE = 0.4
-# After its own start the controller knows neither demand nor the fleet's condition.
+# After its own start, the controller knows neither the demand nor the fleet's condition.
 CAUTIOUS_START_MS = 12_000.0
-# Bounds the setting: a multiple of a server's usual load.
+# Upper bound of the setting, which is a multiple of a server's normal load.
 MAX_OVERLOAD_FACTOR = 3.0
-MIN_FLEET_SIZE = 1e-6  # a divisor; the fleet may be empty
+MIN_FLEET_CAPACITY = 1e-6  # avoids a division by 0 if the fleet is empty
 
 
 class SlowStart:
-    """Owns the load that a unit of guaranteed capacity may get while a server warms up."""
+    """Owns `load_per_capacity`: the load per unit of guaranteed capacity while warming up."""
 
     def __init__(self, settings: Settings) -> None:
         self._overload_factor = min(settings.warm_up_overload_factor, MAX_OVERLOAD_FACTOR)
@@ -35,27 +35,27 @@
         condition: FleetCondition,
         controller_age_ms: float,
     ) -> None:
-        """Takes note of the fleet, the demand and the condition of this reconciliation."""
-        # By the fleet at its peak: with many servers lost, an even part would overload a cold
-        # server.
+        """Updates the load limit for the fleet, demand and condition of this reconciliation."""
+        # By the fleet's peak capacity: with many servers lost, an equal share of the demand would
+        # overload a server that warms up.
         self.fleet_capacity.observe(ready_servers)
         cautious = (
             condition.overloaded or condition.collapsed or controller_age_ms < CAUTIOUS_START_MS
         )
-        # Where load is shed, a slice brings more once all of it is admitted again.
+        # While load is shed, the demand is that of the admitted requests alone, and will rise.
         share = max(CAUTIOUS_OVERLOAD_SHARE, OVERLOAD_SHARE * condition.admitted_share)
         if cautious:
             share = CAUTIOUS_OVERLOAD_SHARE
         if condition.overloaded and self._capacity_unknown:
-            # A fair share of what is asked for is more than one of what the fleet can do.
+            # The demand exceeds the fleet's capacity, so only its completed share is distributed.
             share *= condition.completed_share
         self.load_per_capacity = (
             share
             * self._overload_factor
             * total_demand
-            / max(self.fleet_capacity.peak, MIN_FLEET_SIZE)
+            / max(self.fleet_capacity.peak, MIN_FLEET_CAPACITY)
         )
 
     def admissible_load(self, server: Server) -> float:
-        """The load that the server may have now."""
+        """Returns the load that the server may carry now."""
         return self.load_per_capacity * server.guaranteed_capacity
--- a/havendyke/policy/standby.py
+++ b/havendyke/policy/standby.py
@@ -1,4 +1,4 @@
-"""Standby endpoints: a second server with a small weight in each slice's table."""
+"""Standby endpoints: each slice's table has a second server with a small weight."""
 
 from collections.abc import Sequence
 
@@ -10,16 +10,16 @@
 
 
 def choose_standby(slice_: Slice, servers: Sequence[Server]) -> None:
-    """Gives a slice with a primary one usable standby, in another zone where there is one."""
+    """Adds one usable standby to a slice with a primary, in another zone if possible."""
     primary = slice_.primary()
     if primary is None:
         return
     standbys = [server for server in slice_.desired if server is not primary]
-    if len(standbys) == 1 and _is_steady(standbys[0]):
+    if len(standbys) == 1 and _is_eligible(standbys[0]):
         return
-    steady = [s for s in servers if _is_steady(s) and s is not primary and not s.ejected]
-    # A fault of the primary may be one of its zone.
-    candidates = [server for server in steady if server.zone != primary.zone] or steady
+    eligible = [s for s in servers if _is_eligible(s) and s is not primary and not s.ejected]
+    # A fault of the primary may affect its whole zone.
+    candidates = [server for server in eligible if server.zone != primary.zone] or eligible
     weight = slice_.desired[primary]
     slice_.desired = {primary: weight}
     if candidates:
@@ -27,5 +27,5 @@
         slice_.desired[standby] = STANDBY_WEIGHT * weight
 
 
-def _is_steady(server: Server) -> bool:
+def _is_eligible(server: Server) -> bool:
     return server.health == HEALTHY or (server.health == WARMING_UP and server.start_assumed)
--- a/havendyke/policy/table_diff.py
+++ b/havendyke/policy/table_diff.py
@@ -1,4 +1,4 @@
-"""The difference between a slice's desired and its published table, as orders."""
+"""Computes the orders that turn a slice's published table into its desired one."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -10,14 +10,14 @@
 
 
 class Urgency(IntEnum):
-    """Why a table must change, the most urgent first."""
+    """The reason for a change of a table, the most urgent first."""
 
     NO_ENDPOINT = -1
     LEAVES_UNAVAILABLE = 0
     LEAVES_UNHEALTHY = 1
     LEAVES_WARMING_UP = 2
     ORDINARY = 3
-    TIDY = 5  # every desired endpoint is published already
+    CLEANUP = 5  # all desired entries are published; only stale ones remain
 
 
 URGENCY_BY_HEALTH = {
@@ -26,15 +26,15 @@
     WARMING_UP: Urgency.LEAVES_WARMING_UP,
     HEALTHY: Urgency.ORDINARY,
 }
-# May leave between two ordinary pushes.
+# Changes at least this urgent may be sent between two ordinary pushes.
 LEAST_URGENT_EXPEDITED = Urgency.LEAVES_UNAVAILABLE
-# May use the budget for urgent entries.
-LEAST_URGENT_BEYOND_BUDGET = Urgency.LEAVES_UNHEALTHY
+# Changes at least this urgent may use the part of the budget reserved for urgent entries.
+LEAST_URGENT_USING_RESERVE = Urgency.LEAVES_UNHEALTHY
 
 
 @dataclass(frozen=True, slots=True)
 class TableChange:
-    """Orders that change a slice's table, and the published table after them."""
+    """Orders that change a slice's table, and the published table that results."""
 
     orders: list[SetEndpointWeight | ClearTable]
     published: dict[Server, float]
@@ -50,36 +50,38 @@
 
 
 def urgency(slice_: Slice) -> Urgency:
-    """How urgent the change of the slice's table is."""
+    """Returns how urgent the change of the slice's table is."""
     in_use = {s: w for s, w in slice_.published.items() if not s.ejected}
     if not in_use:
         return Urgency.NO_ENDPOINT
-    worst = min(_health_to_leave(slice_, in_use), default=HEALTHY)
-    if worst != HEALTHY:
-        return URGENCY_BY_HEALTH[worst]
+    worst_health = min(_health_of_servers_to_leave(slice_, in_use), default=HEALTHY)
+    if worst_health != HEALTHY:
+        return URGENCY_BY_HEALTH[worst_health]
     if _leaves_usable_ejected_server(slice_):
         return Urgency.LEAVES_WARMING_UP
-    # A slice with one usable endpoint is not tidied but changed with the ordinary ones: the loss of
-    # that server would leave it with none.
+    # With a single usable endpoint the change stays ordinary, since losing that server would leave
+    # the slice without one.
     usable = sum(server.health >= WARMING_UP for server in in_use)
     if usable > 1 and slice_.is_published():
-        return Urgency.TIDY
+        return Urgency.CLEANUP
     return Urgency.ORDINARY
 
 
 def change_priority(slice_: Slice) -> tuple[Urgency, float]:
-    """The sort key of changes within a push: by urgency, then the largest demand."""
+    """Returns the sort key of changes within a push: by urgency, then the largest demand first."""
     return urgency(slice_), -demand_of(slice_)
 
 
-def _health_to_leave(slice_: Slice, in_use: dict[Server, float]) -> list[HealthState]:
-    """The health of published servers that the desired table leaves because of it."""
-    largest = max(in_use.values())
+def _health_of_servers_to_leave(slice_: Slice, in_use: dict[Server, float]) -> list[HealthState]:
+    """Returns the health of published servers that the desired table drops because of it."""
+    largest_weight = max(in_use.values())
     return [
         server.health
         for server, weight in in_use.items()
         if server not in slice_.desired
-        and (server.health <= UNHEALTHY or (server.health == WARMING_UP and weight == largest))
+        and (
+            server.health <= UNHEALTHY or (server.health == WARMING_UP and weight == largest_weight)
+        )
     ]
 
 
@@ -92,7 +94,7 @@
 
 
 class TableDiff:
-    """Finds the orders that bring a published table closer to the desired one."""
+    """Computes the next step from a published table towards the desired one."""
 
     def __init__(self, settings: Settings) -> None:
         self._exclusive = settings.exclusive_ownership
@@ -100,8 +102,9 @@
         self._max_write_in_flight_ms = settings.max_write_in_flight_ms
 
     def change(self, slice_: Slice, now_ms: float) -> TableChange:
-        """The next change of the slice's table; without orders where there is none yet."""
-        # Equal within one push, if an exclusive owner was published and comes up again.
+        """Returns the next change of the slice's table, without orders if none is possible yet."""
+        # A push may process a slice twice. An exclusive owner that it has just published must not
+        # be cleared the second time.
         if slice_.desired == slice_.published:
             return TableChange([], slice_.published)
         if self._exclusive and slice_.published:
@@ -122,10 +125,10 @@
         return TableChange(orders, table)
 
     def _is_released(self, slice_: Slice, now_ms: float) -> bool:
-        """Whether no write of the former owner can be in flight any more.
+        """Whether no write to the former owner can be in flight any more.
 
-        Each proxy that had the owner's entry has acknowledged the push that removed it, or its
-        lease has ended; and the longest write since then has ended.
+        Each proxy with the former owner's entry must have acknowledged the push that removed it,
+        or its lease must have ended. After that, the longest possible write must have ended too.
         """
         push = slice_.cleared_by
         if push is None:
@@ -139,37 +142,42 @@
 def _next_table(slice_: Slice) -> dict[Server, float]:
     published = slice_.published
     primary = slice_.primary()
-    # Entries of standbys wait while the slice leaves a server that it must leave, or lacks its
-    # primary's entry: of many slices at once they would keep an ejection behind them past its grace
-    # period. Where the primary's entry is there but ejected, the standby is all that serves the
-    # slice until the ejection ends, which may take longer than a table may stay empty.
+    # Standby entries are deferred while the slice must leave an unusable server, or has no usable
+    # endpoint and lacks its primary's entry: with many slices at once, they would delay an ejection
+    # beyond the drain's grace period. If the primary's entry is published but ejected, they are
+    # not: the standby alone serves the slice until the ejection ends, which may take longer than a
+    # table may stay empty.
     must_leave = any(s.health <= UNHEALTHY and not s.ejected for s in published)
     lacks_primary = primary is not None and published.get(primary) != slice_.desired[primary]
     no_endpoint = all(server.ejected for server in published)
-    hurry = must_leave or (no_endpoint and lacks_primary)
-    if hurry and primary and lacks_primary:
+    defer_standbys = must_leave or (no_endpoint and lacks_primary)
+    if defer_standbys and primary and lacks_primary:
         table = {**published, primary: slice_.desired[primary]}
     else:
         table = {
             server: weight
             for server, weight in slice_.desired.items()
-            if not hurry or server is primary or server in published
+            if not defer_standbys or server is primary or server in published
         }
     if not slice_.is_published():
-        table |= _harmless_entries(slice_, table, hurry)
+        table |= _retained_entries(slice_, table, defer_standbys)
     return table
 
 
-def _harmless_entries(
-    slice_: Slice, table: dict[Server, float], hurry: bool
+def _retained_entries(
+    slice_: Slice, table: dict[Server, float], defer_standbys: bool
 ) -> dict[Server, float]:
-    """Published entries that can stay until nothing else is left to change."""
+    """Returns the entries whose removal can wait until all desired entries are published."""
     primary = slice_.primary()
     primary_weight = slice_.desired[primary] if primary else 0.0
-    lightest = STANDBY_WEIGHT * primary_weight
+    standby_weight = STANDBY_WEIGHT * primary_weight
     return {
         server: weight
         for server, weight in slice_.published.items()
         if server not in table
-        and (server.health <= UNHEALTHY if server.ejected else not hurry and weight <= lightest)
+        and (
+            server.health <= UNHEALTHY
+            if server.ejected
+            else not defer_standbys and weight <= standby_weight
+        )
     }
--- a/havendyke/policy/table_planner.py
+++ b/havendyke/policy/table_planner.py
@@ -15,22 +15,22 @@
 from .slow_start import SlowStart
 from .standby import choose_standby
 
-# Exclusive ownership: slices are rebalanced only where a table may stay empty for this many
-# hand-overs, since a controller that stops within one leaves another to begin it anew.
+# With exclusive ownership, slices are rebalanced only if a table may stay empty for longer than
+# this many handovers: when a controller stops during one, another has to start it again.
 MIN_HANDOVERS_TO_REBALANCE = 3.0
 
 
 class TablePlanner:
-    """Runs what changes desired tables, in order: failover, recovery, rebalancing, standbys."""
+    """Changes the desired tables, in this order: failover, recovery, rebalancing, standbys."""
 
     def __init__(
         self, settings: Settings, seed: int, fleet: FleetMonitor, costs: PushCosts
     ) -> None:
-        hand_over_ms = settings.lease_ms + settings.max_write_in_flight_ms
+        handover_ms = settings.lease_ms + settings.max_write_in_flight_ms
         self._exclusive = settings.exclusive_ownership
         self._may_rebalance = (
             not self._exclusive
-            or settings.max_empty_table_ms > MIN_HANDOVERS_TO_REBALANCE * hand_over_ms
+            or settings.max_empty_table_ms > MIN_HANDOVERS_TO_REBALANCE * handover_ms
         )
         self._costs = costs
         self._fleet = fleet
@@ -45,7 +45,7 @@
         self.rebalancer = Rebalancer(settings, seed, fleet, self.limits, self.migrator, self.pace)
 
     def plan(self, observed: ObservedState, controller_age_ms: float) -> None:
-        """Sets the desired tables of all assigned slices."""
+        """Updates the desired tables of all assigned slices."""
         slices = observed.assigned_slices()
         servers = observed.servers
         now_ms = observed.now_ms
@@ -62,7 +62,7 @@
                 choose_standby(slice_, servers)
 
     def update_load(self, observed: ObservedState, controller_age_ms: float) -> None:
-        """Estimates demand, and what each server may have of it."""
+        """Updates the estimated demand, and the limits on each server's load."""
         ready = observed.ready_servers()
         self.connections.update(observed.proxies, len(ready))
         self.pace.update(observed.proxies, len(ready))
@@ -71,8 +71,8 @@
         self.slow_start.update(ready, total, self._fleet.condition, controller_age_ms)
 
     def _limit_migrations(self, observed: ObservedState) -> None:
-        # Half of the room, less what waits to be published already: more would crowd out standbys.
-        # At least an eighth, so that a backlog does not stop migrations.
-        room = self._costs.room_per_proxy(len(observed.connected_proxies()))
+        # Half of the push, less the tables that wait to be published already: more would leave no
+        # room for standbys. At least an eighth, so that a backlog does not stop migrations.
+        entries = self._costs.max_entries_per_proxy(len(observed.connected_proxies()))
         unpublished = sum(not slice_.is_published() for slice_ in observed.assigned_slices())
-        self.migrator.budget = max(room / 8, room / 2 - unpublished)
+        self.migrator.budget = max(entries / 8, entries / 2 - unpublished)
--- a/havendyke/policy/tick.py
+++ b/havendyke/policy/tick.py
@@ -1,3 +1,3 @@
-"""The interval of reconciliations without events."""
+"""The interval between reconciliations while no events arrive."""
 
 TICK_INTERVAL_MS = 250.0
--- a/havendyke/policy/zone_loss.py
+++ b/havendyke/policy/zone_loss.py
@@ -1,8 +1,8 @@
 """Detects the loss of a whole zone, seconds before the endpoint list shows it.
 
-The proxies of a lost zone disconnect at once; where they stay, most load reports of its servers
-show failures seconds later. Servers of a lost zone restart cold, and the endpoint list shows their
-new start late: until then they count as started when the zone was lost.
+The proxies of a lost zone disconnect at once. If they stay connected, most load reports on its
+servers show failures within seconds. Servers of a lost zone restart with cold caches, and the
+endpoint list shows the restart late; until then they count as started when the zone was lost.
 """
 
 from collections import defaultdict
@@ -13,24 +13,24 @@
 from ..state import ConnectedProxyCount, Server
 from .outlier_detection import OUTLIER_ERROR_RATE, RECENT_SUCCESS_INTERVALS
 
-# With fewer servers in the reports, or fewer proxies at the peak, a zone is not judged.
+# With fewer servers in the reports, or fewer proxies at the peak, no conclusion is drawn.
 MIN_REPORTED_SERVERS = 3
 MIN_PEAK_PROXIES = 5
-# A zone of which no more proxies than this share of the peak are left is lost.
+# A zone is lost if at most this share of its peak number of proxies is still connected.
 LOST_PROXY_SHARE = 0.1
 
 
 @dataclass(slots=True)
 class ZoneReports:
-    """Recent load reports of one zone's servers."""
+    """Counts of recent load reports on one zone's servers."""
 
     servers: int = 0
     reports: int = 0
     failing_reports: int = 0
 
     @property
-    def show_loss(self) -> bool:
-        """Whether most reports, of enough servers, show failures."""
+    def indicate_loss(self) -> bool:
+        """Whether most reports, on enough servers, show failures."""
         return self.servers >= MIN_REPORTED_SERVERS and 2 * self.failing_reports > self.reports
 
 
@@ -48,8 +48,8 @@
         overloaded: bool,
         now_ms: float,
     ) -> None:
-        """Marks the ready servers of lost zones, unless these are more than half of all."""
-        # Those that are known to be warming up need no mark; an unknown zone cannot be lost.
+        """Marks the ready servers of lost zones, unless they are more than half of all."""
+        # Servers known to be warming up need no mark; an unknown zone cannot be lost.
         candidates = [
             server
             for server in ready_servers
@@ -60,14 +60,14 @@
         if not overloaded:
             lost_zones |= self._zones_with_failing_reports(candidates, now_ms)
         lost = [server for server in candidates if server.zone in lost_zones]
-        # More than half is more likely a partition of this controller.
+        # The loss of more than half is more likely a partition of this controller.
         if 2 * len(lost) <= len(candidates):
             for server in lost:
                 server.zone_lost_ms = now_ms
 
     def _zones_with_failing_reports(self, servers: Sequence[Server], now_ms: float) -> set[int]:
         zones = recent_reports_by_zone(servers, now_ms - self._report_window_ms)
-        return {zone for zone, reports in zones.items() if reports.show_loss}
+        return {zone for zone, reports in zones.items() if reports.indicate_loss}
 
     @staticmethod
     def _zones_with_lost_proxies(connected_by_zone: dict[int, ConnectedProxyCount]) -> set[int]:
@@ -77,8 +77,8 @@
             if proxies.peak >= MIN_PEAK_PROXIES
             and proxies.connected <= LOST_PROXY_SHARE * proxies.peak
         }
-        # Where the other zones' proxies are gone too, the relay was away: zones whose proxies come
-        # back one after the other were not lost.
+        # If most proxies of the other zones are disconnected as well, the relay has failed: zones
+        # whose proxies reconnect one after the other were not lost.
         others = [proxies for zone, proxies in connected_by_zone.items() if zone not in lost]
         if 2 * sum(p.connected for p in others) > sum(p.peak for p in others):
             return lost
@@ -88,7 +88,7 @@
 def recent_reports_by_zone(
     servers: Iterable[Server], received_after_ms: float
 ) -> dict[int, ZoneReports]:
-    """Recent reports by the zone of the server they are about."""
+    """Counts recent load reports by the zone of the reported server."""
     zones: dict[int, ZoneReports] = defaultdict(ZoneReports)
     for server in servers:
         recent = [
--- a/havendyke/registry.py
+++ b/havendyke/registry.py
@@ -1,4 +1,4 @@
-"""Ids become the controller's objects here, once for each id; nothing behind it looks up an id."""
+"""Maps ids from the wire to the controller's objects; code behind it never looks up an id."""
 
 from collections.abc import Callable, Hashable
 from typing import TypeVar
@@ -12,9 +12,9 @@
 
 
 class ObjectRegistry:
-    """One controller, its objects by id, and the events that wait for its next reconciliation.
+    """A controller, its objects by id, and the events pending for its next reconciliation.
 
-    The seed decides all random choices of the controller.
+    `seed` determines all random choices of the controller.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -22,57 +22,57 @@
         self.servers: dict[str, Server] = {}
         self.slices: dict[int, Slice] = {}
         self.proxies: dict[int, Proxy] = {}
-        # Ids that were forgotten while ejected, oldest first; `recovery` adds persisted ones.
+        # Ids of servers removed while ejected, oldest first; `recovery` adds persisted ones.
         self.ejected_ids: dict[str, None] = {}
         self.pending_events: list[Event] = []
 
-    def server(self, ident: str) -> Server:
-        """The server of an id, made when the id is new."""
-        if ident in self.servers:
-            return self.servers[ident]
-        server = self.controller.add_server(ident)
-        self.servers[ident] = server
-        if ident in self.ejected_ids:
-            # The proxies still hold the ejection: it must be lifted before the server is used.
-            del self.ejected_ids[ident]
+    def server(self, server_id: str) -> Server:
+        """Returns the server with this id, adding it if the id is new."""
+        if server_id in self.servers:
+            return self.servers[server_id]
+        server = self.controller.add_server(server_id)
+        self.servers[server_id] = server
+        if server_id in self.ejected_ids:
+            # Proxies still apply the ejection; it must be revoked before the server is used.
+            del self.ejected_ids[server_id]
             server.ejection_unconfirmed = server.ever_ejected = True
         return server
 
-    def slice(self, ident: int) -> Slice:
-        """The slice of an id, made when the id is new."""
-        return _get_or_add(self.slices, ident, self.controller.add_slice)
+    def slice(self, slice_id: int) -> Slice:
+        """Returns the slice with this id, adding it if the id is new."""
+        return _get_or_add(self.slices, slice_id, self.controller.add_slice)
 
-    def proxy(self, ident: int) -> Proxy:
-        """The proxy of an id, made when the id is new."""
-        return _get_or_add(self.proxies, ident, self.controller.add_proxy)
+    def proxy(self, proxy_id: int) -> Proxy:
+        """Returns the proxy with this id, adding it if the id is new."""
+        return _get_or_add(self.proxies, proxy_id, self.controller.add_proxy)
 
     def remove_unreferenced_servers(self, max_ejected_ids: int) -> list[Server]:
-        """Removes and returns the servers that no list and no table names any more.
+        """Removes and returns the servers that neither the endpoint list nor any table contains.
 
-        The adapter calls this at intervals, since the cost of a reconciliation grows with the
-        number of servers. Of the ids that left while ejected, the last `max_ejected_ids` are
-        remembered.
+        The adapter calls this periodically, since the cost of a reconciliation grows with the
+        number of servers. The ids of ejected servers are kept, at most the latest
+        `max_ejected_ids`.
         """
-        # A pending event may refer to a server that no table and no list names.
+        # A pending event may still refer to an otherwise unreferenced server.
         if self.pending_events:
             return []
-        gone = departed(self.controller.servers, self.controller.slices)
-        for server in gone:
+        removed = departed(self.controller.servers, self.controller.slices)
+        for server in removed:
             self.controller.servers.remove(server)
             del self.servers[server.id]
             if server.ejected or server.ejection_unconfirmed:
                 self.ejected_ids[server.id] = None
         while len(self.ejected_ids) > max_ejected_ids:
             del self.ejected_ids[next(iter(self.ejected_ids))]
-        return gone
+        return removed
 
     def reconcile(self, now_ms: float) -> list[Order]:
-        """Hands the pending events to the controller and returns its orders."""
+        """Passes the pending events to the controller and returns its orders."""
         events, self.pending_events = self.pending_events, []
         return self.controller.reconcile(now_ms, events)
 
 
-def _get_or_add(objects: dict[Id, Object], ident: Id, add: Callable[[Id], Object]) -> Object:
-    if ident not in objects:
-        objects[ident] = add(ident)
-    return objects[ident]
+def _get_or_add(objects: dict[Id, Object], object_id: Id, add: Callable[[Id], Object]) -> Object:
+    if object_id not in objects:
+        objects[object_id] = add(object_id)
+    return objects[object_id]
--- a/tests/test_same.py
+++ b/tests/test_same.py
@@ -141,8 +141,8 @@
     ("old", "new", "complaint"),
     [
         (
-            r'\A"""Ids become',
-            'import no_such_module\n"""Ids become',
+            r'\A"""Maps ids',
+            'import no_such_module\n"""Maps ids',
             "ModuleNotFoundError: No module named 'no_such_module'",
         ),
         (
@@ -151,7 +151,7 @@
             "field 'pendingMax'",
         ),
         (
-            r"return _get_or_add\(self\.proxies, ident, self\.controller\.add_proxy\)",
+            r"return _get_or_add\(self\.proxies, proxy_id, self\.controller\.add_proxy\)",
             "return 1 / 0",
             "ZeroDivisionError: division by zero",
         ),
