--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""The admission probability while the fleet is overloaded."""
+"""Tests of admission control while the fleet is overloaded."""
 
 import pytest
 from controller_scene import COMPLETED_SHARE_ADMITTED, ControllerScene
@@ -23,14 +23,14 @@
     assert scene.admission_probability == pytest.approx(COMPLETED_SHARE_ADMITTED * 100 / 200)
 
 
-@pytest.mark.parametrize("failing, lowered", [(1, False), (2, False), (3, True)])
-def test_few_failing_servers_do_not_lower_the_admission_probability(failing, lowered):
-    # All servers would reject requests for what a few of them cannot serve.
+@pytest.mark.parametrize("failing_count, lowered", [(1, False), (2, False), (3, True)])
+def test_few_failing_servers_do_not_lower_the_admission_probability(failing_count, lowered):
+    # Requests to all servers would be rejected because of a few overloaded ones.
     scene = ControllerScene()
     servers = scene.add_servers(5)
     (slice_,) = scene.add_slices(servers[:1])
     for number, server in enumerate(servers):
-        scene.report_server(server, 90, 60 if number < failing else 0, 900.0)
+        scene.report_server(server, 90, 60 if number < failing_count else 0, 900.0)
     scene.report_slice(slice_, 450)
     scene.evaluate_health()
     scene.adjust_admission()
@@ -38,7 +38,8 @@
 
 
 def test_fast_failures_at_all_servers_do_not_lower_the_admission_probability():
-    # Refused connections cost a server no work, and rejecting requests frees none of them.
+    # Fast failures are refused connections: they cost a server no work, and load shedding frees no
+    # connection.
     scene = ControllerScene()
     servers = scene.add_servers(4)
     (slice_,) = scene.add_slices(servers[:1])
@@ -55,7 +56,7 @@
 def test_the_limit_is_not_raised_while_most_attempts_fail_beside_servers_without_reports(
     failures, raised
 ):
-    # Most servers warm up and have no reports, so that the middle one shows no failures.
+    # Most servers warm up and have no reports, so the median server shows no failures.
     scene = ControllerScene()
     reported = scene.add_servers(4)
     scene.add_servers(6, started_ms=scene.now_ms - 1000.0)
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -1,4 +1,4 @@
-"""What holds for the controller as a whole."""
+"""Tests of the controller as a whole."""
 
 from controller_scene import ControllerScene, HealthState, weight_orders
 
@@ -17,7 +17,7 @@
     assert sum(isinstance(o, core.BindTable) for o in orders) == 2
 
 
-def test_nothing_is_ordered_for_a_slice_that_is_not_assigned():
+def test_a_slice_that_is_not_assigned_gets_no_orders():
     scene = ControllerScene()
     primary, _ = scene.add_servers(2)
     (slice_,) = scene.add_slices([primary])
@@ -26,8 +26,8 @@
     assert not weight_orders(scene.reconcile())
 
 
-def test_a_server_that_only_the_snapshot_names_is_available_until_a_list_lacks_it():
-    # A cached list may be older than the server.
+def test_a_server_known_only_from_the_snapshot_is_available_until_a_current_list_lacks_it():
+    # A cached endpoint list may be older than the server.
     scene = ControllerScene()
     scene.add_servers(3)
     scene.set_list_received(False)
--- a/tests/policy/test_demand.py
+++ b/tests/policy/test_demand.py
@@ -1,12 +1,14 @@
-"""Estimates of slices' demand and of the controllers that share a server."""
+"""Tests of the estimates of slices' demand and of the controllers that share a server."""
 
 import pytest
 from controller_scene import ControllerScene, controller_group
 
 
-@pytest.mark.parametrize("assigned_for_ms, light", [(0.0, False), (60_000.0, True)])
-def test_a_slice_just_assigned_counts_as_the_mean_until_it_has_reports(assigned_for_ms, light):
-    # Its primary would look empty and get still more slices.
+@pytest.mark.parametrize("assigned_for_ms, underestimated", [(0.0, False), (60_000.0, True)])
+def test_a_newly_assigned_slice_has_the_mean_demand_until_it_has_reports(
+    assigned_for_ms, underestimated
+):
+    # Without an estimate, its primary would appear unused and get more slices.
     scene = ControllerScene()
     slices = scene.add_slices(scene.add_servers(4))
     unreported, *reported = slices
@@ -15,12 +17,13 @@
         scene.set_assigned_at(slice_, scene.now_ms - 60_000.0)
         scene.add_requests(slice_, 30.0)
     scene.estimate_demand(slices)
-    assert (scene.demand(unreported) < 0.9 * scene.demand(reported[0])) == light
+    assert (scene.demand(unreported) < 0.9 * scene.demand(reported[0])) == underestimated
 
 
 @pytest.mark.parametrize("controllers, sharing", [(1, 1), (5, 5), (230, 6)])
-def test_controllers_that_share_a_server_are_those_that_hold_its_slices(controllers, sharing):
-    # If each server's period grew with all controllers, it could hardly ever give up a slice.
+def test_a_server_is_shared_by_the_controllers_with_slices_on_it(controllers, sharing):
+    # If a server's migration interval grew with the number of all controllers, it could hardly ever
+    # release a slice.
     scene = controller_group(controllers, 40, [k % 40 for k in range(240)])[0]
     scene.estimate_connections()
     assert scene.controllers_per_server == sharing
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -1,4 +1,4 @@
-"""When one order ejects a server from all tables, and when it returns."""
+"""Tests of when a single order ejects a server from all tables, and of when the ejection ends."""
 
 import pytest
 from controller_scene import STANDBY_WEIGHT, ControllerScene
@@ -8,7 +8,7 @@
 
 
 def ejections(scene, slices):
-    """The ejection orders of the next push."""
+    """Returns the ejection orders of the next push."""
     scene.evaluate_health()
     scene.estimate_demand(slices)
     return [o for o in scene.emit() if isinstance(o, core.SetEjection)]
@@ -18,7 +18,7 @@
     "state, unhealthy_ms", [(core.ServerState.DRAINING, None), (core.ServerState.READY, 5000.0)]
 )
 def test_one_order_ejects_a_server_whose_slices_all_have_another_endpoint(state, unhealthy_ms):
-    # The entries of all its slices, times the proxies, take longer than a drain's grace.
+    # Updating the tables of all its slices at all proxies takes longer than a drain's grace period.
     scene = ControllerScene()
     leaving, standby = scene.add_servers(2)
     slices = scene.add_slices([leaving] * 3)
@@ -32,7 +32,7 @@
     assert ejections(scene, slices) == [core.SetEjection(leaving, True)]
 
 
-def test_no_server_is_ejected_where_a_slice_has_no_other_endpoint_or_one_that_warms_up():
+def test_no_server_is_ejected_if_a_slice_has_no_other_endpoint_or_one_that_warms_up():
     scene = ControllerScene()
     draining, warming_up = scene.add_servers(2)
     slices = scene.add_slices([draining] * 2)
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("warming_up, returned", [(False, 6), (True, 2)])
 def test_a_recovered_server_is_unejected_with_the_slices_that_it_can_carry(warming_up, returned):
-    # Publishing its entries anew would leave it idle for several pushes.
+    # Publishing its entries again would leave it idle for several pushes.
     scene = ControllerScene()
     recovered, standby, *others = scene.add_servers(4)
     slices = scene.add_slices([recovered] * 6 + [standby, *others] * 6)
@@ -64,7 +64,7 @@
     assert (core.SetEjection(recovered, False) in scene.ejection_orders()) != warming_up
 
 
-def test_a_proxy_that_connects_gets_the_ejections_that_were_lifted_again():
+def test_the_end_of_an_ejection_is_sent_again_after_a_proxy_connects():
     scene = ControllerScene()
     ejected_before, other = scene.add_servers(2)
     slices = scene.add_slices([ejected_before, other])
@@ -103,10 +103,11 @@
         ),
     ],
 )
-def test_a_drain_whose_grace_runs_out_does_not_wait_until_its_slices_have_other_endpoints(
+def test_an_ejection_late_in_the_grace_period_does_not_wait_for_other_endpoints(
     state, since_ms, max_empty_table_ms, ejected
 ):
-    # Covering the slices of a batch takes several pushes; the last ejection came 0.01 s late.
+    # When many servers drain together, adding other endpoints for their slices takes several
+    # pushes. Waiting for all of them delayed the last ejection 0.01 s beyond the grace period.
     scene = ControllerScene(max_empty_table_ms=max_empty_table_ms)
     leaving, other = scene.add_servers(2)
     slices = scene.add_slices([leaving, other])
--- a/tests/policy/test_exclusive_ownership.py
+++ b/tests/policy/test_exclusive_ownership.py
@@ -1,4 +1,4 @@
-"""Slices with one server at a time: when the next primary may follow the former one."""
+"""Tests of exclusive ownership: when the next primary may be published after the former one."""
 
 import pytest
 from controller_scene import (
@@ -22,7 +22,7 @@
 
 
 def exclusive_scene(**settings):
-    """A controller of a deployment in which a slice has one server at a time."""
+    """Returns a controller of a deployment with exclusive ownership."""
     return ControllerScene(
         exclusive_ownership=True,
         lease_ms=LEASE_MS,
@@ -32,7 +32,7 @@
 
 
 def slice_of_former_primary(scene):
-    """A settled slice, and the server that is to be its next primary."""
+    """Returns a settled slice and the server that is to be its next primary."""
     former, following = scene.add_servers(2)
     (slice_,) = scene.add_slices([former])
     scene.set_assigned_at(slice_, LONG_AGO_MS)
@@ -41,7 +41,7 @@
 
 
 def cleared_slice(proxy_count):
-    """A controller that has just cleared a slice's table for its next primary, by push 1."""
+    """Returns a controller whose push 1 cleared a slice's table, the next primary and proxies."""
     scene = exclusive_scene(list_request_timeout_ms=0.0)
     slice_, following = slice_of_former_primary(scene)
     proxies = scene.connect_proxies(proxy_count)
@@ -51,20 +51,21 @@
 
 
 def handover_ms(scene, following, limit_ms=20_000.0, between=lambda: None):
-    """How long until the next primary is published; `between` is called between attempts. None
-    where it is not within the limit.
+    """Returns the time until the next primary is published, or None if it exceeds the limit.
+
+    `between` is called between attempts.
     """
-    begin = scene.now_ms
-    while scene.now_ms - begin <= limit_ms:
+    start_ms = scene.now_ms
+    while scene.now_ms - start_ms <= limit_ms:
         if [o.server for o in weight_orders(scene.emit())] == [following]:
-            return scene.now_ms - begin
+            return scene.now_ms - start_ms
         between()
         scene.advance(100.0)
     return None
 
 
 def test_proxies_that_disconnect_after_their_acknowledgement_do_not_delay_the_next_primary():
-    # While proxies restart in turn, all slices would otherwise wait without an endpoint.
+    # Otherwise a rolling restart of the proxies would leave slices without an endpoint.
     scene, following, proxies = cleared_slice(8)
     scene.acknowledge(*proxies)
     restarting = iter(proxies)
@@ -109,7 +110,7 @@
     assert handover_ms(scene, following) == LEASE_MS - 500.0 + WRITE_IN_FLIGHT_MS
 
 
-def test_a_proxy_that_does_not_acknowledge_is_waited_for_without_end():
+def test_a_connected_proxy_that_does_not_acknowledge_delays_the_next_primary_indefinitely():
     scene, following, proxies = cleared_slice(3)
     scene.acknowledge(*proxies[1:])
     assert handover_ms(scene, following) is None
@@ -119,8 +120,8 @@
     "connected_after_ms, awaited",
     [(CONNECT_RACE_WINDOW_MS, True), (CONNECT_RACE_WINDOW_MS + 1.0, False)],
 )
-def test_a_proxy_that_connects_as_the_push_leaves_must_acknowledge_it(connected_after_ms, awaited):
-    # It may have read the former primary's entry from the store before the push reached it.
+def test_a_proxy_that_connects_as_the_push_is_sent_must_acknowledge_it(connected_after_ms, awaited):
+    # It may have read the former primary's entry from the relay before the push reached the relay.
     scene, following, proxies = cleared_slice(2)
     scene.acknowledge(*proxies)
     scene.advance(connected_after_ms)
@@ -134,7 +135,7 @@
 
 
 def test_a_slice_assigned_without_an_entry_waits_for_the_former_controllers_proxies():
-    # They use its last table for their lease, from when the slice changed hands.
+    # From the assignment on, they may use that controller's last table until their leases end.
     scene = exclusive_scene()
     _, following = scene.add_servers(2)
     scene.connect_proxies(2)
@@ -145,7 +146,7 @@
     assert handover_ms(scene, following) == LEASE_MS + WRITE_IN_FLIGHT_MS
 
 
-def test_an_acknowledgement_costs_by_the_unacknowledged_pushes_and_not_by_the_slices():
+def test_an_acknowledgement_is_processed_without_iterating_over_all_slices():
     scene, _, proxies = cleared_slice(3)
     scene.forbid_iteration_over_slices()
     scene.acknowledge(*proxies)
@@ -169,8 +170,8 @@
 
 @pytest.mark.parametrize("disconnects, wait_ms", [(False, 4000.0), (True, 5500.0)])
 def test_the_next_primary_waits_until_all_writes_to_the_former_have_ended(disconnects, wait_ms):
-    # A proxy whose stream broke writes on for its lease, and its writes in flight would meet the
-    # next primary's.
+    # A proxy whose stream broke continues to write until its lease ends, and its writes in flight
+    # would conflict with those at the next primary.
     scene = exclusive_scene()
     former, following = scene.add_servers(2)
     (slice_,) = scene.add_slices([former])
@@ -179,7 +180,8 @@
     assert core.ClearTable(slice_) in scene.emit()
     scene.acknowledge(*others)
     scene.advance(2000)
-    # A second choice of its next primary: the clearing still counts from its own push.
+    # The next primary changes again; the wait is still measured from the push that cleared the
+    # table.
     scene.set_last_push(slice_, None)
     assert not weight_orders(scene.emit())
     if disconnects:
@@ -211,11 +213,14 @@
     assert not clear_orders(orders) and scene.published(slice_) == {following: 1.0}
 
 
-# Migrations by choice
+# Rebalancing
 
 
 def overloaded_server(max_empty_table_ms):
-    """Ten servers with four slices each, of which the first is slow and fails, after a plan."""
+    """Returns a controller after planning, and the first of its ten servers, which is overloaded.
+
+    Each server has four slices.
+    """
     scene = exclusive_scene(
         slice_count=40, max_empty_table_ms=max_empty_table_ms, channel_queue_limit=61_560.0
     )
@@ -233,17 +238,18 @@
 
 
 def migrated(scene, former):
-    """The slices that are no longer a server's, of those that were the first server's."""
+    """Returns the first server's slices that have been migrated off it."""
     return [slice_ for slice_ in scene.slices[::10] if scene.primary(slice_) is not former]
 
 
-ENOUGH_MS = HANDOVERS_WITHIN_EMPTY_LIMIT * HANDOVER_MS + 1.0
+MIN_EMPTY_TABLE_LIMIT_MS = HANDOVERS_WITHIN_EMPTY_LIMIT * HANDOVER_MS + 1.0
 
 
 @pytest.mark.parametrize(
-    "max_empty_table_ms, migrations", [(ENOUGH_MS, 1), (ENOUGH_MS - 1.0, 0), (0.0, 0)]
+    "max_empty_table_ms, migrations",
+    [(MIN_EMPTY_TABLE_LIMIT_MS, 1), (MIN_EMPTY_TABLE_LIMIT_MS - 1.0, 0), (0.0, 0)],
 )
-def test_an_overloaded_server_gives_up_a_slice_where_the_limit_on_empty_tables_leaves_time(
+def test_an_overloaded_server_releases_a_slice_if_tables_may_stay_empty_for_long_enough(
     max_empty_table_ms, migrations
 ):
     scene, overloaded = overloaded_server(max_empty_table_ms)
@@ -252,7 +258,7 @@
 
 
 def test_a_migrated_slice_is_settled_before_the_next_one_is_cleared():
-    scene, overloaded = overloaded_server(ENOUGH_MS)
+    scene, overloaded = overloaded_server(MIN_EMPTY_TABLE_LIMIT_MS)
     scene.emit()
     scene.advance(PUSH_INTERVAL_MS)
     scene.set_overloaded_reports(overloaded, OVERLOADED_REPORTS_TO_MIGRATE)
@@ -266,13 +272,14 @@
 
 
 def test_slices_with_exclusive_ownership_have_no_standby_endpoints():
-    scene, _ = overloaded_server(ENOUGH_MS)
+    scene, _ = overloaded_server(MIN_EMPTY_TABLE_LIMIT_MS)
     assert all(len(scene.desired(slice_)) == 1 for slice_ in scene.slices)
 
 
 @pytest.mark.parametrize("exclusive, most", [(True, 1), (False, 3)])
 def test_an_owner_that_warms_up_takes_over_one_slice_at_a_time(exclusive, most):
-    # What waited for three slices came at once, and felled a server that could bear them.
+    # Requests that waited for three slices arrived all at once and overloaded a server that could
+    # carry the slices themselves.
     scene = exclusive_scene() if exclusive else ControllerScene()
     warming_up, draining, full = scene.add_servers(3)
     slices = scene.add_slices([draining] * 3 + [full] * 9)
--- a/tests/policy/test_fleet_capacity.py
+++ b/tests/policy/test_fleet_capacity.py
@@ -1,16 +1,16 @@
-"""The fleet's capacity at its largest, by which servers that warm up get their part."""
+"""Tests of the fleet's peak capacity, which determines the load of servers that warm up."""
 
 from controller_scene import FleetCapacityScene
 
 
-def test_successors_beside_their_predecessors_do_not_enlarge_the_fleet():
-    # Counted twice, they would reduce what each server that warms up gets.
+def test_successors_that_run_beside_their_predecessors_do_not_raise_the_peak():
+    # Counting both would reduce the load of each server that warms up.
     fleet = FleetCapacityScene()
-    # In the fourth step 20 more start with the endpoint list that the 36 left in.
+    # In the last step, 36 servers leave and 20 more start with the same endpoint list.
     for healthy, warming_up in ((120, 0), (120, 36), (84, 36), (84, 52), (48, 72)):
         fleet.observe(healthy, warming_up)
     assert fleet.largest == 120.0
-    fleet.observe(48, 32)  # servers that warm up are lost with their zone: no successors
+    fleet.observe(48, 32)  # servers that warm up are lost with their zone; they have no successors
     assert fleet.largest == 120.0
 
 
--- a/tests/policy/test_health_check_schedule.py
+++ b/tests/policy/test_health_check_schedule.py
@@ -1,4 +1,4 @@
-"""How often servers are asked for their health, and when the endpoint list is asked for."""
+"""Tests of when health checks are sent and when the endpoint list is requested."""
 
 from collections import Counter
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("on_request, requests", [(True, 1), (False, 0)])
-def test_the_endpoint_list_is_asked_for_once_and_again_after_a_failure(on_request, requests):
+def test_the_endpoint_list_is_requested_once_and_again_after_a_failure(on_request, requests):
     scene = ControllerScene(list_on_request=on_request, list_request_timeout_ms=8000.0)
     orders = scene.request_observations() + scene.request_observations()
     assert sum(isinstance(o, core.RequestEndpointList) for o in orders) == requests
@@ -26,7 +26,7 @@
 
 
 def checked_servers(scene, duration_ms):
-    """The servers that are asked within the duration, each passing at once."""
+    """Yields the id of each server checked within the duration; all checks pass at once."""
     for _ in range(int(duration_ms / RECONCILE_INTERVAL_MS)):
         for order in scene.request_observations():
             scene.end_health_check(order.server, PASSED)
@@ -36,7 +36,8 @@
 
 @pytest.mark.parametrize("count", [1, 5, 230])
 def test_all_controllers_together_check_a_server_at_a_bounded_rate(count):
-    # Checks by each of hundreds of controllers at its own rate would take much of a server's CPU.
+    # Hundreds of controllers that each check at a rate of their own would use much of a server's
+    # CPU.
     checks = Counter()
     for scene in controller_group(count, 40, [k % 40 for k in range(240)], health_checks=True):
         scene.evaluate_health()
@@ -60,10 +61,10 @@
     scene = controller_group(5, 40, [k % 40 for k in range(240)], health_checks=True)[0]
     for order in scene.request_observations():
         scene.end_health_check(order.server, PASSED)
-    suspect, sound = scene.servers[:2]
-    scene.set_last_check(suspect, scene.now_ms)
-    scene.set_last_check(sound, scene.now_ms)
-    scene.end_health_check(suspect, REFUSED)
+    failed, passed = scene.servers[:2]
+    scene.set_last_check(failed, scene.now_ms)
+    scene.set_last_check(passed, scene.now_ms)
+    scene.end_health_check(failed, REFUSED)
     scene.advance(600.0)
     checked = {order.server for order in scene.request_observations()}
-    assert suspect in checked and sound not in checked
+    assert failed in checked and passed not in checked
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which servers count as unhealthy, and for how long."""
+"""Tests of which servers are marked unhealthy, and for how long."""
 
 import pytest
 from controller_scene import (
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("suspects, outliers", [(2, 2), (4, 0)])
 def test_more_than_half_of_the_servers_are_never_outliers(suspects, outliers):
-    # So many at once are more likely the controller's own network or a stall.
+    # A majority more likely indicates a stall of the controller or a fault of its own network.
     scene = ControllerScene()
     for server in scene.add_servers(6)[:suspects]:
         scene.set_consecutive_failures(server, CONSECUTIVE_FAILURES_TO_EJECT)
@@ -54,7 +54,7 @@
         pytest.param(2000.0, 0.0, 900.0, 5, 40, False, id="slow, with a longer queue"),
     ],
 )
-def test_unanswered_checks_make_an_outlier_only_where_answers_are_due(
+def test_unanswered_checks_make_an_outlier_only_if_answers_are_overdue(
     own_age_ms, fleet_age_ms, latency_ms, attempts, in_flight, outlier
 ):
     scene = ControllerScene()
@@ -85,7 +85,7 @@
     assert durations[1] == 2 * durations[0] and durations[2] <= MAX_EJECTION_TIME_MS
 
 
-def test_a_check_that_reached_an_earlier_incarnation_is_no_further_failure():
+def test_a_check_superseded_by_a_new_incarnation_does_not_count_as_a_failure():
     scene = ControllerScene(health_checks=True)
     server, *_ = scene.add_servers(6)
     scene.end_health_check(server, core.HealthCheckOutcome.REFUSED)
@@ -98,8 +98,8 @@
 
 @pytest.mark.parametrize("connection_capacity, outlier", [(119.0, False), (400.0, True)])
 def test_a_server_whose_connections_are_exhausted_is_no_outlier(connection_capacity, outlier):
-    # It keeps its connections for a while after its slices have left, and those open new ones at
-    # servers whose connections are exhausted too.
+    # Its connections stay open for a while after its slices have migrated, and the slices open new
+    # ones at servers whose connections are exhausted too.
     scene = ControllerScene(
         slice_count=160, connection_capacity=connection_capacity, connection_idle_ms=15_000.0
     )
--- a/tests/policy/test_push_scheduler.py
+++ b/tests/policy/test_push_scheduler.py
@@ -1,4 +1,4 @@
-"""When a push goes out, and what has room in it."""
+"""Tests of when pushes are sent, and of what they contain."""
 
 import pytest
 from controller_scene import (
@@ -26,7 +26,7 @@
     assert scene.published(unchanged) == {following: 1.0}
 
 
-def test_at_most_one_push_a_second():
+def test_at_most_one_ordinary_push_is_sent_per_second():
     scene = ControllerScene()
     former, following = scene.add_servers(2)
     (slice_,) = scene.add_slices([former])
@@ -42,8 +42,9 @@
 
 
 @pytest.mark.parametrize("message_limit, pushed", [(0, True), (5, False)])
-def test_a_drain_need_not_wait_for_the_next_second(message_limit, pushed):
-    # With a grace of 2 s a push a second later reaches some proxies after the server is gone.
+def test_a_drain_does_not_wait_for_the_next_ordinary_push(message_limit, pushed):
+    # With a grace period of 2 s, a push one second later reaches some proxies after the server has
+    # stopped.
     scene = ControllerScene(message_limit=message_limit, message_limit_window_ms=10_000.0)
     draining, other = scene.add_servers(2)
     slices = scene.add_slices([draining] * 2)
@@ -58,9 +59,9 @@
     assert bool(weight_orders(scene.emit())) == pushed
 
 
-def test_entries_without_room_in_a_push_stay_unpublished():
-    # A slice that counted as published without its entries would leave its traffic on a server
-    # that drains.
+def test_entries_that_exceed_the_budget_of_a_push_stay_unpublished():
+    # If a slice counted as published without its entries having been sent, its traffic would stay
+    # on a server that drains.
     scene = ControllerScene(channel_queue_limit=96.0)
     former, following = scene.add_servers(2)
     slices = scene.add_slices([former] * 8)
@@ -77,7 +78,7 @@
     "elapsed_ms, acknowledged, queued",
     [(1000.0, False, 200.0), (1000.0, True, 0.0), (60_000.0, False, 0.0)],
 )
-def test_queue_is_estimated_by_acknowledgements_and_by_the_slowest_rate(
+def test_the_queue_is_estimated_from_acknowledgements_and_the_slowest_rate(
     elapsed_ms, acknowledged, queued
 ):
     scene = ControllerScene()
@@ -89,8 +90,8 @@
     assert scene.queued_entries() == queued
 
 
-def test_a_proxy_that_connects_again_is_asked_for_an_acknowledgement():
-    # Its empty record would otherwise keep every slice unsettled.
+def test_an_acknowledgement_is_requested_from_a_proxy_that_reconnects():
+    # Without one, no slice would ever count as settled.
     scene = ControllerScene()
     former, following = scene.add_servers(2)
     (slice_,) = scene.add_slices([former])
@@ -107,8 +108,8 @@
     assert scene.emit() == []
 
 
-def test_nothing_is_ordered_while_orders_cannot_leave():
-    # Orders of a long absence would pile up and leave at once, beyond the channel's limit.
+def test_no_orders_are_emitted_while_the_channel_is_disconnected():
+    # Orders would accumulate and be sent all at once on reconnection, beyond the channel's limit.
     scene = ControllerScene(channel_queue_limit=400.0)
     former, following = scene.add_servers(2)
     slices = scene.add_slices([former] * 60)
@@ -122,14 +123,14 @@
         scene.advance(1000.0)
         assert scene.emit() == []
     scene.set_channel_connected(True)
-    assert scene.emit() == []  # the orders from before have only now begun to leave
+    assert scene.emit() == []  # the earlier orders are only now being sent
     scene.advance(1000.0)
     assert weight_orders(scene.emit())
 
 
 @pytest.mark.parametrize("unsent_nonces, queue_is_empty", [((), False), ((1,), True)])
-def test_a_push_that_never_left_does_not_delay_the_next(unsent_nonces, queue_is_empty):
-    # No proxy will acknowledge it, so its entries would count as queued without end.
+def test_a_push_that_was_never_sent_does_not_delay_the_next(unsent_nonces, queue_is_empty):
+    # No proxy will acknowledge it, so its entries would count as queued forever.
     scene = ControllerScene(channel_queue_limit=2000.0)
     former, following = scene.add_servers(2)
     slices = scene.add_slices([former] * 8)
@@ -144,8 +145,9 @@
 
 
 def takeover_beside_a_drain(count, **settings):
-    """A controller newly assigned `count` slices without a healthy endpoint, and two slices of a
-    server that drains; the draining server and the `count` slices.
+    """Returns a controller, a server that drains, and newly assigned slices without an endpoint.
+
+    The controller has `count` of these slices, and two slices of the server that drains.
     """
     scene = ControllerScene(**settings)
     _, _, ejected, draining = scene.add_servers(4)
@@ -163,9 +165,9 @@
     return scene, draining, without_endpoint
 
 
-def test_slices_without_an_endpoint_get_one_entry_each_so_that_a_drain_has_room():
-    # Primary and standby together would fill two pushes and delay the ejection past the grace.
-    # The limit leaves room for 21 orders a proxy.
+def test_slices_without_an_endpoint_get_one_entry_each_so_that_an_ejection_fits():
+    # Entries of primaries and standbys would fill two pushes and delay the ejection beyond the
+    # grace period. The limit allows 21 orders per proxy.
     scene, draining, slices = takeover_beside_a_drain(12, channel_queue_limit=116.0)
     orders = scene.emit()
     assert {o.slice for o in weight_orders(orders)} >= set(slices)
@@ -178,7 +180,7 @@
 
 
 @pytest.mark.parametrize("next_push_in_ms", [-100.0, 100.0])
-def test_a_drain_has_its_reserve_of_the_channel_in_every_push(next_push_in_ms):
+def test_every_push_reserves_channel_capacity_for_drains(next_push_in_ms):
     scene, draining, _ = takeover_beside_a_drain(0, channel_queue_limit=116.0)
     scene.set_next_push_in(next_push_in_ms)
     scene.assume_queued_share(0.55)
@@ -186,7 +188,7 @@
 
 
 def largest_deployment():
-    """1,024 servers and 1,500 slices, before the first reconciliation."""
+    """Returns one of 1,024 controllers of 1,500 slices, before its first reconciliation."""
     return ControllerScene.unstarted(
         core.Settings(
             request_classes=[core.RequestClass(1000.0, 3000.0, core.Idempotency.IDEMPOTENT)],
@@ -208,7 +210,10 @@
 
 
 def first_events(scene, servers, slices, proxies):
-    """All servers listed, all slices assigned with one endpoint each, all proxies connected."""
+    """Returns events that list all servers, assign all slices and connect all proxies.
+
+    Each slice has one published endpoint.
+    """
     endpoints = [scene.add_server(f"s{k}") for k in range(servers)]
     entries = [
         core.EndpointEntry(server, core.ServerState.READY, None, k % 3, 0, 0, 1.0)
@@ -226,7 +231,7 @@
     ]
 
 
-def test_the_largest_fleet_connects_at_once_and_the_queue_stays_within_its_limit():
+def test_the_queue_stays_within_its_limit_when_the_largest_fleet_connects_at_once():
     scene = largest_deployment()
     events = first_events(scene, servers=1024, slices=1500, proxies=2000)
     queued_kinds = (
--- a/tests/policy/test_rebalancer.py
+++ b/tests/policy/test_rebalancer.py
@@ -1,4 +1,4 @@
-"""Which slices move off overloaded servers, and where to."""
+"""Tests of which slices migrate off overloaded servers, and to which targets."""
 
 from collections import Counter
 
@@ -14,8 +14,8 @@
 )
 
 
-@pytest.mark.parametrize("reports, moved", [(1, False), (2, True)])
-def test_one_slice_moves_off_an_overloaded_server(reports, moved):
+@pytest.mark.parametrize("reports, migrated", [(1, False), (2, True)])
+def test_one_slice_migrates_off_an_overloaded_server(reports, migrated):
     scene = ControllerScene()
     servers = scene.add_servers(5)
     overloaded, *others = servers
@@ -31,7 +31,7 @@
         scene.evaluate_health()
         scene.estimate_demand(slices)
         scene.rebalance()
-    assert scene.slices_with_primary(overloaded, slices) == (5 if moved else 6)
+    assert scene.slices_with_primary(overloaded, slices) == (5 if migrated else 6)
 
 
 def test_a_slice_is_settled_once_most_proxies_have_acknowledged_it():
@@ -49,7 +49,8 @@
 
 
 def test_a_target_has_no_more_requests_in_flight_than_the_median_server():
-    # A server of another controller's slices has no reports here and looks average, however full.
+    # A server used only by other controllers has no reports here and appears average, whatever its
+    # load.
     scene = ControllerScene(sizes_stated=False)
     servers = scene.add_servers(4)
     source, *_, busy = servers
@@ -72,8 +73,8 @@
 
 
 @pytest.mark.parametrize("others_failures, migrates", [(0, True), (40, False)])
-def test_a_failing_server_beside_a_healthy_fleet_gives_up_a_slice_a_push(others_failures, migrates):
-    # Its own failures raise the fleet's error rate, which must not slow its migrations down.
+def test_a_failing_server_in_a_healthy_fleet_releases_a_slice_per_push(others_failures, migrates):
+    # Its own failures raise the fleet's error rate, which must not delay its migrations.
     scene = ControllerScene()
     servers = scene.add_servers(6)
     failing = servers[0]
@@ -114,10 +115,10 @@
 
 
 @pytest.mark.parametrize("latency_ms, migrations", [(250.0, 0), (900.0, 1)])
-def test_a_server_gives_up_slices_only_where_it_is_slow_by_the_latency_objectives(
+def test_a_server_releases_slices_only_if_it_is_slow_by_the_latency_objectives(
     latency_ms, migrations
 ):
-    # A migration holds connections at source and target for a while; among fast servers it
+    # For a while a migration occupies connections at both source and target; among fast servers it
     # exhausts them for no gain.
     scene = ControllerScene(
         slice_count=160,
@@ -135,16 +136,16 @@
     scene.evaluate_health()
     scene.set_overloaded_reports(servers[0], OVERLOADED_REPORTS_TO_MIGRATE)
     scene.plan()
-    moved = [
+    migrated = [
         slice_
         for slice_, former in zip(slices, primaries, strict=True)
         if scene.primary(slice_) is not former
     ]
-    assert len(moved) == migrations
+    assert len(migrated) == migrations
 
 
-def test_a_server_gives_up_one_slice_an_interval_whichever_controllers_hold_its_slices():
-    # Each controller's own interval would move slices as often as there are controllers.
+def test_all_controllers_together_migrate_one_slice_per_interval_off_a_server():
+    # With an interval for each controller, migrations would multiply by their number.
     migrations = 0
     interval_ms = MIGRATION_INTERVAL_MS * 5
     for scene in controller_group(5, 40, [k // 5 % 40 for k in range(1600)], sizes_stated=False):
--- a/tests/policy/test_recovery_ramp.py
+++ b/tests/policy/test_recovery_ramp.py
@@ -1,4 +1,4 @@
-"""How servers that came back get slices again."""
+"""Tests of how recovered servers get slices again."""
 
 from collections import Counter
 
@@ -26,8 +26,8 @@
     assert scene.slices_of(servers[19])
 
 
-def test_sources_are_sought_once_for_all_recovered_servers():
-    # A search through all slices for each of them would take much of a reconciliation.
+def test_spare_slices_are_searched_once_for_all_recovered_servers():
+    # A search through all slices for each server would take much of a reconciliation.
     scene = ControllerScene(slice_count=300, channel_queue_limit=61_560.0)
     servers = scene.add_servers(60)
     recovered = servers[30:]
@@ -41,8 +41,8 @@
     assert max(queries.values()) <= 2
 
 
-def test_recovered_servers_take_nothing_from_servers_that_warm_up():
-    # From one to the next a slice only finds caches that are not yet filled.
+def test_recovered_servers_get_no_slices_of_servers_that_warm_up():
+    # Such a migration only moves a slice from one cold cache to another.
     scene = ControllerScene(slice_count=40, channel_queue_limit=61_560.0)
     servers = scene.add_servers(8)
     warming_up = scene.add_servers(4, started_ms=scene.now_ms - 8000.0)
@@ -57,8 +57,8 @@
     assert not any(scene.slices_of(server) for server in recovered)
 
 
-def test_healthy_servers_give_to_those_that_warm_up_though_each_controller_holds_few_slices():
-    # If each controller kept what is its part rounded up, healthy servers would stay overloaded.
+def test_healthy_servers_release_slices_to_those_that_warm_up_from_all_controllers_together():
+    # If each controller rounded its share of a server up, healthy servers would stay overloaded.
     loads = Counter()
     for scene in controller_group(5, 60, [k % 24 for k in range(360)]):
         scene.set_queue_unlimited()
@@ -75,8 +75,8 @@
     assert sum(loads[f"s{k}"] for k in range(24)) < 200 and max(loads.values()) <= 10
 
 
-def test_recovered_servers_take_no_more_slices_than_a_push_has_room_for():
-    # Further entries would leave no room for those of standby endpoints.
+def test_recovered_servers_get_no_more_slices_than_the_migration_budget():
+    # More entries would leave no capacity for those of standby endpoints.
     scene = ControllerScene(slice_count=300, channel_queue_limit=61_560.0)
     servers = scene.add_servers(60)
     recovered = servers[30:]
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""When proxies may send a request a second time."""
+"""Tests of when proxies may retry a request."""
 
 import pytest
 from controller_scene import ControllerScene
@@ -19,7 +19,7 @@
         (core.Idempotency.KEYED, core.DeduplicationScope.CELL, 9000.0, False),
     ],
 )
-def test_retries_after_any_failure_only_where_they_cannot_take_effect_twice(
+def test_retries_after_any_failure_require_that_requests_cannot_take_effect_twice(
     idempotency, scope, window_ms, retried
 ):
     scene = ControllerScene(
@@ -38,7 +38,7 @@
         (400.0, 130.0, {core.RetryPolicy.NEVER}),
     ],
 )
-def test_refused_connections_do_not_end_retries(connection_capacity, latency_ms, policies):
+def test_refused_connections_do_not_disable_retries(connection_capacity, latency_ms, policies):
     # Another server may have a free connection.
     scene = ControllerScene(
         slice_count=160, connection_capacity=connection_capacity, connection_idle_ms=15_000.0
@@ -52,7 +52,7 @@
     assert set(scene.retry_policies) == policies
 
 
-# Whatever the settings, the observations and their order
+# Property-based test over settings, observations and their order
 
 TIMES_NS = st.sampled_from([1e6, 5e8, 1e9, 2e9, 5e9, 1e10, 3e10])
 REQUEST_CLASSES = st.fixed_dictionaries(
@@ -82,7 +82,7 @@
 
 
 def is_retryable(request_class: dict) -> bool:
-    """As the page of the wire has it, and independent of the product's own rule."""
+    """Whether the wire's documentation allows a retry; independent of the implementation."""
     if request_class["repeat"] == "token":
         return (
             request_class["group"] == "all"
@@ -92,7 +92,7 @@
 
 
 class RetryPoliciesAtProxies:
-    """The last policy ordered for each request class; None before the first order."""
+    """The retry policy last ordered for each request class; None before the first order."""
 
     def __init__(self, class_count):
         self.policies = [None] * class_count
@@ -105,7 +105,7 @@
 
 
 class SmallDeployment:
-    """A controller with four servers and three proxies, and the events that wait for it."""
+    """A controller with four servers and three proxies, and its pending events."""
 
     def __init__(self, wire_settings, seed):
         parsed = read_settings(wire_settings)
@@ -127,7 +127,7 @@
         return core.EndpointListUpdate(core.ListScope.COMPLETE, entries)
 
     def load_reports(self, failures, latency_ms):
-        """Reports of all servers and slices."""
+        """Returns load reports on all servers and slices."""
         return [
             core.ServerLoadReport(server, 0, 30, failures, latency_ms, 1000.0)
             for server in self.servers
@@ -152,7 +152,7 @@
         return [core.TimerFired(0)]
 
     def reconcile(self, now_ms):
-        """One reconciliation; the connected proxies acknowledge its push before the next one."""
+        """Reconciles once; connected proxies acknowledge the push before the next time."""
         events = [*self.pending_events, core.TimerFired(0)]
         self.scene.advance_to(now_ms)
         orders = self.scene.reconcile(events)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What a server that warms up is given."""
+"""Tests of the load and slices of a server that warms up."""
 
 from collections import Counter
 
@@ -17,8 +17,8 @@
 from havendyke.policy.slow_start import CAUTIOUS_OVERLOAD_SHARE
 
 
-def test_slices_beyond_what_a_fleet_that_warms_up_can_carry_get_no_endpoint():
-    # With all traffic on servers that warm up, those fall over.
+def test_slices_beyond_the_admissible_load_of_a_fleet_that_warms_up_get_no_endpoint():
+    # All of the traffic would overload servers that warm up, and they would fail.
     scene = ControllerScene()
     former = scene.add_servers(4)
     slices = scene.add_slices(former * 5)
@@ -34,13 +34,13 @@
 
 
 def full_baseline_load(scene, total_demand):
-    """The baseline load of a controller that trusts its estimates of demand."""
+    """Returns the baseline load of a controller that trusts its estimates of demand."""
     return WARM_UP_LOAD_SHARE * scene.overload_factor * total_demand / scene.largest_fleet_capacity
 
 
 @pytest.mark.parametrize("up_for_ms, reduced", [(1000.0, True), (CAUTIOUS_START_MS + 1, False)])
 def test_the_baseline_load_is_reduced_after_the_controllers_start(up_for_ms, reduced):
-    # A controller that restarts within a deployment has no estimate of demand.
+    # A controller that has just restarted has no estimate of demand.
     scene = ControllerScene()
     slices = scene.add_slices(scene.add_servers(4))
     scene.advance(up_for_ms)
@@ -60,7 +60,7 @@
 def test_the_baseline_load_is_reduced_while_the_servers_with_reports_are_overloaded(
     failures, latency_ms, reduced
 ):
-    # Servers that have just started have no reports and hide the overload in the median.
+    # Servers that have just started have no reports, so the median hides the overload.
     scene = ControllerScene(slice_count=60)
     servers = scene.add_servers(10)
     scene.add_servers(12, started_ms=scene.now_ms - 2000.0)
@@ -86,7 +86,8 @@
 def test_the_baseline_load_is_reduced_until_all_load_that_was_shed_has_returned(
     limit, intervals, reduced
 ):
-    # A server that was filled at a quarter of the load fell over when all of it came back.
+    # A server that got its slices while a quarter of the load was admitted was overloaded, and
+    # failed, once all requests were admitted again.
     scene = ControllerScene()
     slices = scene.add_slices(scene.add_servers(4))
     scene.advance(CAUTIOUS_START_MS + 1)
@@ -139,7 +140,7 @@
 
 
 def list_with_assumed_start(scene, servers, started_ms):
-    """A cached endpoint list that is not trusted."""
+    """Applies a cached endpoint list whose start times are unconfirmed."""
     scene.list_servers(
         servers,
         started_ms=started_ms,
@@ -150,7 +151,7 @@
 
 
 def test_servers_whose_start_is_assumed_keep_their_slices():
-    # A healthy fleet would lose most of its tables to the controller's own restart.
+    # Otherwise a restart of the controller would cost a healthy fleet most of its tables.
     scene = ControllerScene()
     servers = [scene.add_server(f"s{k}") for k in range(3)]
     list_with_assumed_start(scene, servers, scene.now_ms)
@@ -166,7 +167,7 @@
     assert scene.slices_with_primary(servers[0], slices) < 2
 
 
-def test_an_assumed_start_gives_way_to_any_other():
+def test_any_other_start_time_replaces_an_assumed_one():
     scene = ControllerScene()
     server = scene.add_server("a")
     list_with_assumed_start(scene, [server], scene.now_ms)
@@ -179,7 +180,7 @@
 
 
 def replace_servers(scene, second):
-    """Two waves of 18 of 60 servers: successors start, and 2 s later their predecessors drain."""
+    """Replaces 18 of 60 servers twice: successors start, and their predecessors drain 2 s later."""
     if second in (0, 4):
         successors = [scene.add_server(f"n{len(scene.servers)}") for _ in range(18)]
         scene.list_servers(successors, started_ms=scene.now_ms)
@@ -189,9 +190,9 @@
 
 
 @pytest.mark.parametrize("count", [1, 5, 230])
-def test_controllers_together_use_servers_that_warm_up_and_give_none_more_than_its_part(count):
-    # A part of less than a slice for each controller must not round down to nothing for all, and
-    # successors beside their predecessors must not count twice.
+def test_all_controllers_together_use_but_do_not_overload_servers_that_warm_up(count):
+    # Shares of less than one slice per controller must not round down to 0 at all controllers, and
+    # successors that run beside their predecessors must not count twice.
     scenes = controller_group(count, 60, [k % 60 for k in range(360)])
     begin = scenes[0].now_ms + CAUTIOUS_START_MS
     assigned, admissible = Counter(), Counter()
@@ -216,12 +217,12 @@
 
 
 @pytest.mark.parametrize("count", [2, 5, 12, 230])
-def test_parts_that_controllers_round_never_sum_to_more_than_the_whole(count):
+def test_rounded_shares_of_all_controllers_never_exceed_the_total(count):
     for server in (f"s{k}" for k in range(5)):
         offsets = [rounding_offset(server, index, count) for index in range(count)]
-        for part in (0.1, 0.3, 0.5, 0.9, 1.48, 2.6):
-            total = sum(int(part + offset) for offset in offsets)
-            assert count * part - 1 < total <= count * part + 1e-9
+        for share in (0.1, 0.3, 0.5, 0.9, 1.48, 2.6):
+            total = sum(int(share + offset) for offset in offsets)
+            assert count * share - 1 < total <= count * share + 1e-9
 
 
 @pytest.mark.parametrize(
@@ -232,10 +233,11 @@
         pytest.param(False, core.LoadShedding.BY_SHARE, False, id="load is shed"),
     ],
 )
-def test_the_baseline_load_goes_by_what_an_overloaded_fleet_completes(
+def test_the_baseline_load_is_scaled_by_what_an_overloaded_fleet_completes(
     sizes_stated, shedding, reduced
 ):
-    # At a fair share of twice what the fleet could do, a small server got 6 times its capacity.
+    # With a demand of twice the fleet's capacity, a fair share of it put 6 times its capacity on a
+    # small server.
     scene = ControllerScene(sizes_stated=sizes_stated, load_shedding=shedding)
     servers = scene.add_servers(4)
     slices = scene.add_slices(servers)
--- a/tests/policy/test_standby.py
+++ b/tests/policy/test_standby.py
@@ -1,4 +1,4 @@
-"""Where a slice goes when its primary endpoint is lost, and its standby endpoint."""
+"""Tests of failover: the next primary of a slice that lost its own, and its standby endpoint."""
 
 from collections import Counter
 
@@ -16,7 +16,7 @@
         (core.ServerState.READY, 1, False),  # nothing else is ready
     ],
 )
-def test_an_unavailable_server_is_left_by_all_slices_and_no_table_gets_empty(state, servers, left):
+def test_all_slices_leave_an_unavailable_server_and_no_table_gets_empty(state, servers, left):
     scene = ControllerScene()
     endpoints = scene.add_servers(servers)
     slices = scene.add_slices([endpoints[0]] * 3)
@@ -28,7 +28,7 @@
     assert all(table and (endpoints[0] not in table) == left for table in tables)
 
 
-def test_a_slice_whose_primary_is_gone_goes_to_its_standby_in_another_zone():
+def test_a_slice_whose_primary_is_gone_fails_over_to_its_standby_in_another_zone():
     scene = ControllerScene()
     servers = scene.add_servers(6)
     slices = scene.add_slices(servers * 5)
@@ -43,8 +43,9 @@
 
 
 def stays_in_zone(number, unhealthy, zones):
-    """Whether a slice stays in its primary's zone when that drains or is unhealthy, and its standby
-    endpoint drains, so that it goes by hash.
+    """Whether a slice stays in its primary's zone when the primary drains or is unhealthy.
+
+    Its standby endpoint drains, so that the target is chosen by rendezvous hashing.
     """
     scene = ControllerScene(zone_count=zones)
     servers = scene.add_servers(12)
@@ -68,19 +69,20 @@
 @pytest.mark.parametrize(
     "unhealthy, zones, stay",
     [
-        # The whole zone may be lost, and this controller hears of few of its servers.
+        # The whole zone may be lost, and this controller has reports on few of its servers.
         pytest.param(True, 3, {False}, id="unhealthy: to other zones"),
         pytest.param(True, 1, {True}, id="unhealthy in the only zone: stays"),
-        # The endpoint list names a drain, which says nothing of the zone.
+        # The endpoint list shows a drain, which implies nothing about the zone.
         pytest.param(False, 3, {True, False}, id="drained: to any zone"),
     ],
 )
-def test_slices_of_a_lost_server_go_to_zones_by_how_it_was_lost(unhealthy, zones, stay):
+def test_the_zone_of_the_next_primary_depends_on_how_a_server_was_lost(unhealthy, zones, stay):
     assert {stays_in_zone(number, unhealthy, zones) for number in range(12)} == stay
 
 
-def test_slices_of_a_lost_server_do_not_all_go_to_the_same_server_from_many_controllers():
-    # With fewer slices than servers no slice fits, and all controllers see the same largest one.
+def test_many_controllers_spread_the_slices_of_a_lost_server():
+    # With fewer slices than servers no slice fits a server's share, and all controllers see the
+    # same largest server.
     assigned = Counter()
     for scene in controller_group(40, 60, [0, 0] * 40):
         gone, *others = scene.servers
--- a/tests/policy/test_table_diff.py
+++ b/tests/policy/test_table_diff.py
@@ -1,27 +1,29 @@
-"""Which entries of a slice's table are published first."""
+"""Tests of which entries of a slice's table are published first."""
 
 from controller_scene import STANDBY_WEIGHT, ControllerScene
 
 from havendyke import interface as core
 
 
-def test_a_push_takes_up_drains_first_then_single_endpoints_then_stale_entries():
-    # Each loss of a server leaves a slice without a standby endpoint unserved.
+def test_a_push_handles_drains_first_then_single_endpoints_then_stale_entries():
+    # A slice without a standby endpoint has no endpoint once its server is lost.
     scene = ControllerScene()
-    a, b, d, draining = scene.add_servers(4)
-    stale, exposed, urgent = scene.add_slices([a, a, draining])
+    primary, standby, former_standby, draining = scene.add_servers(4)
+    stale, single, urgent = scene.add_slices([primary, primary, draining])
     scene.set_listed_state(core.ServerState.DRAINING, draining)
     scene.evaluate_health()
-    scene.set_published(stale, {a: 1.0, b: STANDBY_WEIGHT, d: STANDBY_WEIGHT})
-    scene.set_desired(stale, {a: 1.0, b: STANDBY_WEIGHT})
-    scene.set_desired(exposed, {a: 1.0, b: STANDBY_WEIGHT})
-    scene.set_desired(urgent, {b: 1.0})
-    assert scene.push_order([stale, exposed, urgent]) == [urgent, exposed, stale]
+    scene.set_published(
+        stale, {primary: 1.0, standby: STANDBY_WEIGHT, former_standby: STANDBY_WEIGHT}
+    )
+    scene.set_desired(stale, {primary: 1.0, standby: STANDBY_WEIGHT})
+    scene.set_desired(single, {primary: 1.0, standby: STANDBY_WEIGHT})
+    scene.set_desired(urgent, {standby: 1.0})
+    assert scene.push_order([stale, single, urgent]) == [urgent, single, stale]
 
 
 def test_unavailable_servers_are_left_before_new_standby_endpoints_are_added():
-    # Servers that drain together and are standby to many slices would fill the channel beyond
-    # their grace.
+    # If servers that drain together are standbys of many slices, their replacements would fill the
+    # channel beyond the grace period.
     scene = ControllerScene()
     draining, standby, next_standby = scene.add_servers(3)
     (slice_,) = scene.add_slices([draining])
@@ -36,7 +38,7 @@
 
 
 def test_a_slice_whose_primary_waits_to_be_unejected_is_served_by_its_standby_until_then():
-    # Slices beyond what the primary can carry leave it first, which may take many pushes.
+    # Slices beyond the primary's admissible load must leave it first, which may take many pushes.
     scene = ControllerScene()
     returned, standby = scene.add_servers(2)
     (slice_,) = scene.add_slices([returned])
--- a/tests/policy/test_zone_loss.py
+++ b/tests/policy/test_zone_loss.py
@@ -1,4 +1,4 @@
-"""When all servers of a zone are presumed to have restarted."""
+"""Tests of when all servers of a zone are presumed to have restarted."""
 
 import pytest
 from controller_scene import (
@@ -12,11 +12,11 @@
 
 
 def initial_capacity(server):
-    """What a server surely has at the start of its warm-up."""
+    """Returns a server's guaranteed capacity at the start of its warm-up."""
     return pytest.approx(0.2 * server.size)
 
 
-# By load reports
+# Detection by load reports
 
 
 @pytest.mark.parametrize(
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     "reported, lost", [(MIN_REPORTED_SERVERS - 1, 0), (MIN_REPORTED_SERVERS, 4)]
 )
-def test_few_servers_with_reports_do_not_speak_for_their_zone(reported, lost):
+def test_a_zone_is_lost_only_if_enough_of_its_servers_have_reports(reported, lost):
     scene = ControllerScene()
     servers = scene.add_servers(12)
     for server in servers_in_zone(servers, 0)[:reported]:
@@ -57,7 +57,7 @@
 
 
 def test_zones_that_fail_together_are_not_lost():
-    # The fault is more likely the controller's own.
+    # The controller itself is more likely at fault.
     scene = ControllerScene()
     for server in scene.add_servers(12):
         scene.report_server(server, 3, 2 if server.zone else 0)
@@ -84,7 +84,7 @@
     assert all(primary.zone for primary in primaries if primary not in lost)
 
 
-def test_a_server_that_fails_with_its_zone_is_not_overloaded_though_its_answers_were_slow():
+def test_a_slow_server_that_fails_with_its_zone_is_unhealthy_and_not_overloaded():
     scene = ControllerScene()
     servers = scene.add_servers(12)
     for server in servers:
@@ -96,7 +96,7 @@
     assert len(scene.servers_warming_up()) == 3
 
 
-def test_a_zone_warms_up_once_its_reports_are_good():
+def test_a_zone_warms_up_once_its_reports_show_no_failures():
     scene = ControllerScene()
     lost = servers_in_zone(scene.add_servers(12), 0)
     for failures in (1, 0):
@@ -110,7 +110,7 @@
     assert not scene.servers_warming_up()
 
 
-def test_a_listed_start_counts_where_the_zone_was_lost_before():
+def test_a_listed_start_replaces_the_start_presumed_from_the_loss_of_the_zone():
     scene = ControllerScene()
     servers = scene.add_servers(12)
     for server in servers:
@@ -128,11 +128,11 @@
     )
 
 
-# By the proxies' streams
+# Detection by the proxies' streams
 
 
 def connect_zones(scene, proxies_each=MIN_ZONE_PROXIES):
-    """Connected proxies of three zones, by zone."""
+    """Connects proxies of three zones and returns them by zone."""
     zones = [[scene.add_proxy(f"{zone}-{k}") for k in range(proxies_each)] for zone in range(3)]
     for zone, proxies in enumerate(zones):
         for proxy in proxies:
@@ -162,8 +162,8 @@
     assert all(scene.guaranteed_capacity(s) == initial_capacity(s) for s in presumed_lost)
 
 
-def test_no_zone_is_lost_where_proxies_of_most_zones_disconnect():
-    # The fault is more likely the relay's or the controller's own.
+def test_no_zone_is_lost_if_proxies_of_most_zones_disconnect():
+    # The relay or the controller itself is more likely at fault.
     scene = ControllerScene()
     scene.add_servers(12)
     zones = connect_zones(scene)
@@ -172,8 +172,8 @@
     assert not scene.servers_warming_up()
 
 
-def test_no_zone_is_lost_where_proxies_connect_again_zone_after_zone():
-    # After a failure of the relay the last zone to connect looks lost beside the others.
+def test_no_zone_is_lost_while_proxies_reconnect_zone_by_zone():
+    # After a failure of the relay, the last zone to reconnect appears lost beside the others.
     scene = ControllerScene()
     scene.add_servers(12)
     zones = connect_zones(scene, 10)
@@ -185,7 +185,7 @@
     assert not scene.servers_warming_up()
 
 
-def test_servers_and_proxies_of_unknown_zone_make_no_zone_that_is_lost():
+def test_servers_and_proxies_of_an_unknown_zone_never_count_as_a_lost_zone():
     scene = ControllerScene()
     for server in servers_in_zone(scene.add_servers(12), 0):
         scene.set_zone(server, -1)
@@ -226,7 +226,7 @@
     assert not scene.servers_warming_up()
 
 
-def test_a_zone_that_lost_its_proxies_for_good_is_lost_no_longer():
+def test_a_zone_without_proxies_for_a_long_time_is_no_longer_lost():
     scene = ControllerScene()
     scene.add_servers(12)
     scene.disconnect(*connect_zones(scene, 2 * MIN_ZONE_PROXIES)[0])
