--- a/havendyke/policy/health_checks.py
+++ b/havendyke/policy/health_checks.py
@@ -8,7 +8,7 @@
 MIN_CHECK_INTERVAL_MS = 500.0
 # Checks of one server by all controllers whose tables contain it, together.
 CHECKS_PER_SERVER_PER_S = 5.0
-# A check without a result delays the next one by at most this many minimum intervals.
+# While a check is pending, the next one waits for at least this many minimum intervals.
 PENDING_INTERVALS = 4
 # Timers may fire this much early; without the slack, a check would wait for another tick.
 TIMER_SLACK_MS = 1
@@ -19,7 +19,7 @@
 
     def __init__(self, settings: Settings, seed: int, pace: MigrationPace) -> None:
         self._enabled = settings.health_checks
-        self._sliced = bool(settings.slice_count)
+        self._has_slices = bool(settings.slice_count)
         self._controller_count = settings.controller_count
         self._pace = pace
         self._random = LinearCongruentialGenerator(seed)
@@ -32,7 +32,7 @@
         # other controllers. These share the rate; the remaining controllers together at most
         # double it.
         user_count = float(self._controller_count)
-        if self._sliced:
+        if self._has_slices:
             user_count = min(self._controller_count, 2.0 * self._pace.controllers_per_server)
         used_servers = _servers_in_desired_tables(observed)
         orders = []
--- a/havendyke/policy/outlier_detection.py
+++ b/havendyke/policy/outlier_detection.py
@@ -12,6 +12,7 @@
 from .fleet_condition import FleetMonitor
 from .observation_decay import HALVING_INTERVAL_MS
 
+# Numbers of consecutive failures that make a server an outlier.
 CONSECUTIVE_CONNECT_FAILURES = 2
 CONSECUTIVE_UNANSWERED_CHECKS = 3
 # A saturated server answers late, so this many times as many unanswered checks are required.
--- a/havendyke/policy/push_scheduler.py
+++ b/havendyke/policy/push_scheduler.py
@@ -40,7 +40,7 @@
 
     def __init__(self, settings: Settings, costs: PushCosts, shared_tables: SharedTables) -> None:
         self._exclusive = settings.exclusive_ownership
-        self._sliced = bool(settings.slice_count)
+        self._has_slices = bool(settings.slice_count)
         self._push_delay_ms = settings.push_delay_ms
         self._min_entries_per_ms = settings.channel_rate_per_s / 1000 / MAX_CHANNEL_SLOWDOWN
         self._lease_ms = settings.lease_ms
@@ -85,7 +85,7 @@
         if connected:
             orders += self._admission_orders(admission, budget)
         self._add_table_orders(orders, observed, changed, budget, push)
-        if not self._sliced:
+        if not self._has_slices:
             self._add_bindings(orders, connected, budget)
         request_from_all = self._lacks_acknowledgement(observed, connected)
         if not orders and not request_from_all:
@@ -111,9 +111,9 @@
 
     def _should_push(self, changed: Sequence[Slice], budget: PushBudget, expedited: bool) -> bool:
         urgent = expedited or any(urgency(slice_) <= LEAST_URGENT_EXPEDITED for slice_ in changed)
-        room = budget.urgent if urgent else budget.ordinary
+        limit = budget.urgent if urgent else budget.ordinary
         # A nearly full channel is not filled with messages whose overhead exceeds their entries.
-        if room < min(self.costs.message_overhead, 1 + len(changed)):
+        if limit < min(self.costs.message_overhead, 1 + len(changed)):
             return False
         return bool(changed) or not expedited
 
@@ -159,13 +159,13 @@
     ) -> None:
         change = self._diff.change(slice_, push.sent_ms)
         urgent = urgency(slice_) <= LEAST_URGENT_USING_RESERVE
-        room = budget.urgent if urgent else budget.ordinary
-        if not change.orders or len(orders) + len(change.orders) > room:
+        limit = budget.urgent if urgent else budget.ordinary
+        if not change.orders or len(orders) + len(change.orders) > limit:
             return
         orders += change.orders
         slice_.published = change.published
         slice_.last_push = push.serial
-        # Recorded besides `last_push`, which a migration resets.
+        # Recorded in addition to `last_push`, which a migration resets.
         slice_.cleared_by = None if change.published else push
 
     def _add_bindings(
@@ -181,7 +181,7 @@
         """Whether a proxy has yet to acknowledge the last push, and no push requested it from it.
 
         A reconnected proxy has the published tables, but only its acknowledgement confirms that;
-        without one, no slice would ever count as settled.
+        without one, its slices would never count as settled.
         """
         channel = observed.channel
         requested_after_ms = NEVER_MS
--- a/havendyke/policy/rebalancer.py
+++ b/havendyke/policy/rebalancer.py
@@ -12,11 +12,12 @@
 from .outlier_detection import RECENT_SUCCESS_INTERVALS
 from .pacing import PUSH_INTERVAL_MS, MigrationPace
 
-# Between migrations with the same source or target, so that load reports show the first one.
+# Between migrations with the same source or target, so that load reports show the effect of the
+# first one.
 SERVER_MIGRATION_INTERVAL_MS = 5_000.0
 SLICE_MIGRATION_INTERVAL_MS = 8_000.0
 # Consecutive report intervals in which a server must be overloaded to become a source.
-MIN_OVERLOADED_INTERVALS = 2
+MIN_OVERLOAD_INTERVALS = 2
 OVERLOADED_UTILIZATION = 1.5  # fair shares
 # Latencies as multiples of the fleet's median.
 OVERLOADED_RELATIVE_LATENCY = 1.6
@@ -95,9 +96,7 @@
     def _is_source(self, server: Server, now_ms: float) -> bool:
         # A server that is slower than others but meets the latency objectives keeps its slices: a
         # migration costs cold caches, and connections at both servers until the old ones close.
-        if server.overloaded_intervals < MIN_OVERLOADED_INTERVALS or not self._fleet.is_slow(
-            server
-        ):
+        if server.overloaded_intervals < MIN_OVERLOAD_INTERVALS or not self._fleet.is_slow(server):
             return False
         # A server that fails in an otherwise healthy fleet works on requests that clients have
         # abandoned, so it may release a slice with each push. 1 ms less, as timers may fire early.
--- a/tests/controller_scene.py
+++ b/tests/controller_scene.py
@@ -25,7 +25,7 @@
 from havendyke.policy.pacing import PUSH_INTERVAL_MS
 from havendyke.policy.push_budget import PushBudget
 from havendyke.policy.push_scheduler import PUSH_RACE_WINDOW_MS
-from havendyke.policy.rebalancer import MIN_OVERLOADED_INTERVALS, SERVER_MIGRATION_INTERVAL_MS
+from havendyke.policy.rebalancer import MIN_OVERLOAD_INTERVALS, SERVER_MIGRATION_INTERVAL_MS
 from havendyke.policy.slow_start import CAUTIOUS_START_MS, OVERLOAD_SHARE
 from havendyke.policy.standby import STANDBY_WEIGHT
 from havendyke.policy.table_diff import change_priority
@@ -70,7 +70,7 @@
 MAX_SUCCESS_AGE_REPORTS = RECENT_SUCCESS_INTERVALS  # report intervals
 MIN_ZONE_PROXIES = MIN_PEAK_PROXIES
 WARM_UP_LOAD_SHARE = OVERLOAD_SHARE  # of the load that fells a server
-OVERLOADED_REPORTS_TO_MIGRATE = MIN_OVERLOADED_INTERVALS
+OVERLOADED_REPORTS_TO_MIGRATE = MIN_OVERLOAD_INTERVALS
 MIGRATION_INTERVAL_MS = SERVER_MIGRATION_INTERVAL_MS
 HANDOVERS_WITHIN_EMPTY_LIMIT = MIN_HANDOVERS_TO_REBALANCE
 CONNECT_RACE_WINDOW_MS = PUSH_RACE_WINDOW_MS
