--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -7,49 +7,49 @@
 
 
 def test_an_overloaded_fleet_gets_no_retries_and_admits_less():
-    scene = ControllerScene()
-    servers = scene.add_servers(4)
-    (slice_,) = scene.add_slices(servers[:1])
-    assert set(scene.retry_policies) == {
+    harness = ControllerScene()
+    servers = harness.add_servers(4)
+    (slice_,) = harness.add_slices(servers[:1])
+    assert set(harness.retry_policies) == {
         core.RetryPolicy.IF_NOT_STARTED,
         core.RetryPolicy.ONCE_AFTER_ANY_FAILURE,
     }
     for server in servers:
-        scene.report_server(server, 50, 25, 900.0)
-    scene.report_slice(slice_, 200)
-    scene.evaluate_health()
-    scene.adjust_admission()
-    assert set(scene.retry_policies) == {core.RetryPolicy.NEVER}
-    assert scene.admission_probability == pytest.approx(COMPLETED_SHARE_ADMITTED * 100 / 200)
+        harness.report_server(server, 50, 25, 900.0)
+    harness.report_slice(slice_, 200)
+    harness.evaluate_health()
+    harness.adjust_admission()
+    assert set(harness.retry_policies) == {core.RetryPolicy.NEVER}
+    assert harness.admission_probability == pytest.approx(COMPLETED_SHARE_ADMITTED * 100 / 200)
 
 
 @pytest.mark.parametrize("failing_count, lowered", [(1, False), (2, False), (3, True)])
 def test_few_failing_servers_do_not_lower_the_admission_probability(failing_count, lowered):
     # Requests to all servers would be rejected because of a few overloaded ones.
-    scene = ControllerScene()
-    servers = scene.add_servers(5)
-    (slice_,) = scene.add_slices(servers[:1])
+    harness = ControllerScene()
+    servers = harness.add_servers(5)
+    (slice_,) = harness.add_slices(servers[:1])
     for number, server in enumerate(servers):
-        scene.report_server(server, 90, 60 if number < failing_count else 0, 900.0)
-    scene.report_slice(slice_, 450)
-    scene.evaluate_health()
-    scene.adjust_admission()
-    assert (scene.admission_probability < 1.0) == lowered
+        harness.report_server(server, 90, 60 if number < failing_count else 0, 900.0)
+    harness.report_slice(slice_, 450)
+    harness.evaluate_health()
+    harness.adjust_admission()
+    assert (harness.admission_probability < 1.0) == lowered
 
 
 def test_fast_failures_at_all_servers_do_not_lower_the_admission_probability():
     # Fast failures are refused connections: they cost a server no work, and load shedding frees no
     # connection.
-    scene = ControllerScene()
-    servers = scene.add_servers(4)
-    (slice_,) = scene.add_slices(servers[:1])
+    harness = ControllerScene()
+    servers = harness.add_servers(4)
+    (slice_,) = harness.add_slices(servers[:1])
     for server in servers:
-        scene.report_server(server, 50, 25, 130.0)
-    scene.report_slice(slice_, 200)
-    scene.admission_probability = 0.5
-    scene.evaluate_health()
-    scene.adjust_admission()
-    assert scene.overloaded and scene.admission_probability > 0.5
+        harness.report_server(server, 50, 25, 130.0)
+    harness.report_slice(slice_, 200)
+    harness.admission_probability = 0.5
+    harness.evaluate_health()
+    harness.adjust_admission()
+    assert harness.overloaded and harness.admission_probability > 0.5
 
 
 @pytest.mark.parametrize("failures, raised", [(50, False), (5, True)])
@@ -57,14 +57,14 @@
     failures, raised
 ):
     # Most servers warm up and have no reports, so the median server shows no failures.
-    scene = ControllerScene()
-    reported = scene.add_servers(4)
-    scene.add_servers(6, started_ms=scene.now_ms - 1000.0)
-    (slice_,) = scene.add_slices(reported[:1])
+    harness = ControllerScene()
+    reported = harness.add_servers(4)
+    harness.add_servers(6, started_ms=harness.now_ms - 1000.0)
+    (slice_,) = harness.add_slices(reported[:1])
     for server in reported:
-        scene.report_server(server, 90, failures, 900.0)
-    scene.report_slice(slice_, 400)
-    scene.admission_probability = 0.5
-    scene.evaluate_health()
-    scene.adjust_admission()
-    assert (scene.admission_probability > 0.5) == raised
+        harness.report_server(server, 90, failures, 900.0)
+    harness.report_slice(slice_, 400)
+    harness.admission_probability = 0.5
+    harness.evaluate_health()
+    harness.adjust_admission()
+    assert (harness.admission_probability > 0.5) == raised
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -22,10 +22,10 @@
 def test_retries_after_any_failure_require_that_requests_cannot_take_effect_twice(
     idempotency, scope, window_ms, retried
 ):
-    scene = ControllerScene(
+    harness = ControllerScene(
         request_classes=[core.RequestClass(1000.0, 3000.0, idempotency, scope, window_ms)]
     )
-    assert scene.retry_policies == [
+    assert harness.retry_policies == [
         core.RetryPolicy.ONCE_AFTER_ANY_FAILURE if retried else core.RetryPolicy.IF_NOT_STARTED
     ]
 
@@ -40,16 +40,16 @@
 )
 def test_refused_connections_do_not_disable_retries(connection_capacity, latency_ms, policies):
     # Another server may have a free connection.
-    scene = ControllerScene(
+    harness = ControllerScene(
         slice_count=160, connection_capacity=connection_capacity, connection_idle_ms=15_000.0
     )
-    servers = scene.add_servers(20)
-    scene.set_request_rate(scene.connect_proxies(150), 1.6)
+    servers = harness.add_servers(20)
+    harness.set_request_rate(harness.connect_proxies(150), 1.6)
     for server in servers:
-        scene.report_server(server, 40, 20, latency_ms)
-    scene.plan()
-    scene.evaluate_health()
-    assert set(scene.retry_policies) == policies
+        harness.report_server(server, 40, 20, latency_ms)
+    harness.plan()
+    harness.evaluate_health()
+    assert set(harness.retry_policies) == policies
 
 
 # Property-based test over settings, observations and their order
@@ -109,10 +109,10 @@
 
     def __init__(self, wire_settings, seed):
         parsed = read_settings(wire_settings)
-        self.scene = ControllerScene.unstarted(parsed, seed)
-        self.servers = [self.scene.add_server(f"s{k}") for k in range(4)]
-        self.proxies = [self.scene.add_proxy(k) for k in range(3)]
-        self.slices = [self.scene.add_slice(k) for k in range(parsed.slice_count)]
+        self.harness = ControllerScene.unstarted(parsed, seed)
+        self.servers = [self.harness.add_server(f"s{k}") for k in range(4)]
+        self.proxies = [self.harness.add_proxy(k) for k in range(3)]
+        self.slices = [self.harness.add_slice(k) for k in range(parsed.slice_count)]
         self.pending_events = [
             self.complete_list(started_ms=None),
             *(core.ProxyConnected(proxy, 0, 3.0, True) for proxy in self.proxies),
@@ -154,13 +154,13 @@
     def reconcile(self, now_ms):
         """Reconciles once; connected proxies acknowledge the push before the next time."""
         events = [*self.pending_events, core.TimerFired(0)]
-        self.scene.advance_to(now_ms)
-        orders = self.scene.reconcile(events)
-        nonce = self.scene.push_count % 65536
+        self.harness.advance_to(now_ms)
+        orders = self.harness.reconcile(events)
+        nonce = self.harness.push_count % 65536
         self.pending_events = [
             core.PushAcknowledged(proxy, nonce, 100.0)
             for proxy in self.proxies
-            if self.scene.is_connected(proxy)
+            if self.harness.is_connected(proxy)
         ]
         return orders
 
--- a/tests/policy/test_standby.py
+++ b/tests/policy/test_standby.py
@@ -17,29 +17,29 @@
     ],
 )
 def test_all_slices_leave_an_unavailable_server_and_no_table_gets_empty(state, servers, left):
-    scene = ControllerScene()
-    endpoints = scene.add_servers(servers)
-    slices = scene.add_slices([endpoints[0]] * 3)
-    scene.set_listed_state(state, endpoints[0])
-    scene.set_unhealthy_for(endpoints[0], 9000.0)
-    scene.evaluate_health()
-    scene.plan()
-    tables = [scene.desired(slice_) for slice_ in slices]
+    harness = ControllerScene()
+    endpoints = harness.add_servers(servers)
+    slices = harness.add_slices([endpoints[0]] * 3)
+    harness.set_listed_state(state, endpoints[0])
+    harness.set_unhealthy_for(endpoints[0], 9000.0)
+    harness.evaluate_health()
+    harness.plan()
+    tables = [harness.desired(slice_) for slice_ in slices]
     assert all(table and (endpoints[0] not in table) == left for table in tables)
 
 
 def test_a_slice_whose_primary_is_gone_fails_over_to_its_standby_in_another_zone():
-    scene = ControllerScene()
-    servers = scene.add_servers(6)
-    slices = scene.add_slices(servers * 5)
-    scene.evaluate_health()
-    scene.plan()
-    standby = next(s for s, weight in scene.desired(slices[0]).items() if weight < 1)
+    harness = ControllerScene()
+    servers = harness.add_servers(6)
+    slices = harness.add_slices(servers * 5)
+    harness.evaluate_health()
+    harness.plan()
+    standby = next(s for s, weight in harness.desired(slices[0]).items() if weight < 1)
     assert standby.zone != servers[0].zone
-    scene.set_listed_state(core.ServerState.GONE, servers[0])
-    scene.evaluate_health()
-    scene.plan()
-    assert scene.primary(slices[0]) is standby
+    harness.set_listed_state(core.ServerState.GONE, servers[0])
+    harness.evaluate_health()
+    harness.plan()
+    assert harness.primary(slices[0]) is standby
 
 
 def stays_in_zone(number, unhealthy, zones):
@@ -47,21 +47,21 @@
 
     Its standby endpoint drains, so that the target is chosen by rendezvous hashing.
     """
-    scene = ControllerScene(zone_count=zones)
-    servers = scene.add_servers(12)
+    harness = ControllerScene(zone_count=zones)
+    servers = harness.add_servers(12)
     for server in servers:
-        scene.set_zone(server, server.zone % zones)
-    slice_ = scene.add_slices(servers * 3)[number]
-    scene.evaluate_health()
-    scene.plan()
-    for server in scene.desired(slice_):
-        stays_ready = unhealthy and server is scene.primary(slice_)
+        harness.set_zone(server, server.zone % zones)
+    slice_ = harness.add_slices(servers * 3)[number]
+    harness.evaluate_health()
+    harness.plan()
+    for server in harness.desired(slice_):
+        stays_ready = unhealthy and server is harness.primary(slice_)
         state = core.ServerState.READY if stays_ready else core.ServerState.DRAINING
-        scene.set_listed_state(state, server)
-    scene.set_unhealthy_for(servers[number], 5000.0 if unhealthy else None)
-    scene.evaluate_health()
-    scene.plan()
-    target = scene.primary(slice_)
+        harness.set_listed_state(state, server)
+    harness.set_unhealthy_for(servers[number], 5000.0 if unhealthy else None)
+    harness.evaluate_health()
+    harness.plan()
+    target = harness.primary(slice_)
     assert target not in (None, servers[number])
     return target.zone == servers[number].zone
 
@@ -84,13 +84,13 @@
     # With fewer slices than servers no slice fits a server's share, and all controllers see the
     # same largest server.
     assigned = Counter()
-    for scene in controller_group(40, 60, [0, 0] * 40):
-        gone, *others = scene.servers
+    for harness in controller_group(40, 60, [0, 0] * 40):
+        gone, *others = harness.servers
         for server in others:
-            latency = 50.0 if server is scene.servers[7] else 100.0
-            scene.report_server(server, 20, latency_ms=latency)
-        scene.set_listed_state(core.ServerState.GONE, gone)
-        scene.evaluate_health()
-        scene.plan()
-        assigned.update(scene.primary(slice_).id for slice_ in scene.assigned_slices)
+            latency = 50.0 if server is harness.servers[7] else 100.0
+            harness.report_server(server, 20, latency_ms=latency)
+        harness.set_listed_state(core.ServerState.GONE, gone)
+        harness.evaluate_health()
+        harness.plan()
+        assigned.update(harness.primary(slice_).id for slice_ in harness.assigned_slices)
     assert sum(assigned.values()) == 80 and max(assigned.values()) <= 8
--- a/tests/policy/test_zone_loss.py
+++ b/tests/policy/test_zone_loss.py
@@ -30,113 +30,113 @@
     ],
 )
 def test_servers_of_a_zone_that_fails_count_as_warming_up(failing, health_checks, age_ms, lost):
-    scene = ControllerScene(health_checks=health_checks)
-    servers = scene.add_servers(12)
+    harness = ControllerScene(health_checks=health_checks)
+    servers = harness.add_servers(12)
     zone = servers_in_zone(servers, 0)
     for number, server in enumerate(zone[:3]):
-        scene.report_server(server, 3, 2 if number < failing else 0)
+        harness.report_server(server, 3, 2 if number < failing else 0)
     for server in servers_in_zone(servers, 1) + servers_in_zone(servers, 2):
-        scene.report_server(server, 3)
-    scene.advance(age_ms)
-    scene.evaluate_health()
-    presumed_lost = scene.servers_warming_up()
+        harness.report_server(server, 3)
+    harness.advance(age_ms)
+    harness.evaluate_health()
+    presumed_lost = harness.servers_warming_up()
     assert presumed_lost == (zone if lost else [])
-    assert all(scene.guaranteed_capacity(s) == initial_capacity(s) for s in presumed_lost)
+    assert all(harness.guaranteed_capacity(s) == initial_capacity(s) for s in presumed_lost)
 
 
 @pytest.mark.parametrize(
     "reported, lost", [(MIN_REPORTED_SERVERS - 1, 0), (MIN_REPORTED_SERVERS, 4)]
 )
 def test_a_zone_is_lost_only_if_enough_of_its_servers_have_reports(reported, lost):
-    scene = ControllerScene()
-    servers = scene.add_servers(12)
+    harness = ControllerScene()
+    servers = harness.add_servers(12)
     for server in servers_in_zone(servers, 0)[:reported]:
-        scene.report_server(server, 3, 2)
-    scene.evaluate_health()
-    assert len(scene.servers_warming_up()) == lost
+        harness.report_server(server, 3, 2)
+    harness.evaluate_health()
+    assert len(harness.servers_warming_up()) == lost
 
 
 def test_zones_that_fail_together_are_not_lost():
     # The controller itself is more likely at fault.
-    scene = ControllerScene()
-    for server in scene.add_servers(12):
-        scene.report_server(server, 3, 2 if server.zone else 0)
-    scene.evaluate_health()
-    assert not scene.servers_warming_up()
+    harness = ControllerScene()
+    for server in harness.add_servers(12):
+        harness.report_server(server, 3, 2 if server.zone else 0)
+    harness.evaluate_health()
+    assert not harness.servers_warming_up()
 
 
 def test_a_lost_zone_keeps_the_load_that_it_can_carry_after_a_restart():
-    scene = ControllerScene()
-    servers = scene.add_servers(12)
-    slices = scene.add_slices(servers * 4)
-    scene.connect_proxies(4)
+    harness = ControllerScene()
+    servers = harness.add_servers(12)
+    slices = harness.add_slices(servers * 4)
+    harness.connect_proxies(4)
     for server in servers:
-        scene.report_server(server, 3, 0 if server.zone else 2)
-    scene.set_started_long_ago()
-    scene.evaluate_health()
-    scene.plan()
+        harness.report_server(server, 3, 0 if server.zone else 2)
+    harness.set_started_long_ago()
+    harness.evaluate_health()
+    harness.plan()
     lost = servers_in_zone(servers, 0)
-    counts = [scene.slices_with_primary(server, slices) for server in lost]
-    limits = [1.25 * scene.admissible_load(server) for server in lost]
+    counts = [harness.slices_with_primary(server, slices) for server in lost]
+    limits = [1.25 * harness.admissible_load(server) for server in lost]
     assert all(count <= limit for count, limit in zip(counts, limits, strict=True))
     assert max(counts) < 4
-    primaries = [scene.primary(slice_) for slice_ in slices]
+    primaries = [harness.primary(slice_) for slice_ in slices]
     assert all(primary.zone for primary in primaries if primary not in lost)
 
 
 def test_a_slow_server_that_fails_with_its_zone_is_unhealthy_and_not_overloaded():
-    scene = ControllerScene()
-    servers = scene.add_servers(12)
+    harness = ControllerScene()
+    servers = harness.add_servers(12)
     for server in servers:
-        scene.report_server(server, 3, 0 if server.zone else 2)
+        harness.report_server(server, 3, 0 if server.zone else 2)
     slow = servers_in_zone(servers, 0)[0]
-    scene.report_server(slow, 20, 10, latency_ms=900.0)
-    scene.evaluate_health()
-    assert scene.health(slow) is HealthState.UNHEALTHY
-    assert len(scene.servers_warming_up()) == 3
+    harness.report_server(slow, 20, 10, latency_ms=900.0)
+    harness.evaluate_health()
+    assert harness.health(slow) is HealthState.UNHEALTHY
+    assert len(harness.servers_warming_up()) == 3
 
 
 def test_a_zone_warms_up_once_its_reports_show_no_failures():
-    scene = ControllerScene()
-    lost = servers_in_zone(scene.add_servers(12), 0)
+    harness = ControllerScene()
+    lost = servers_in_zone(harness.add_servers(12), 0)
     for failures in (1, 0):
         for server in lost:
-            scene.report_server(server, 3, failures)
-        scene.evaluate_health()
-        scene.advance(1000.0)
-    assert [scene.health(server) for server in lost] == [HealthState.WARMING_UP] * 4
-    scene.advance(16_000.0)
-    scene.evaluate_health()
-    assert not scene.servers_warming_up()
+            harness.report_server(server, 3, failures)
+        harness.evaluate_health()
+        harness.advance(1000.0)
+    assert [harness.health(server) for server in lost] == [HealthState.WARMING_UP] * 4
+    harness.advance(16_000.0)
+    harness.evaluate_health()
+    assert not harness.servers_warming_up()
 
 
 def test_a_listed_start_replaces_the_start_presumed_from_the_loss_of_the_zone():
-    scene = ControllerScene()
-    servers = scene.add_servers(12)
+    harness = ControllerScene()
+    servers = harness.add_servers(12)
     for server in servers:
-        scene.report_server(server, 3, 0 if server.zone else 2)
-    scene.evaluate_health()
+        harness.report_server(server, 3, 0 if server.zone else 2)
+    harness.evaluate_health()
     restarted = servers_in_zone(servers, 0)
-    scene.list_servers(restarted, started_ms=scene.now_ms - 8000.0)
-    scene.advance(1000.0)
+    harness.list_servers(restarted, started_ms=harness.now_ms - 8000.0)
+    harness.advance(1000.0)
     for server in restarted:
-        scene.report_server(server, 3, 2)
-    scene.evaluate_health()
+        harness.report_server(server, 3, 2)
+    harness.evaluate_health()
     warmed_up_share = 0.2 + 0.8 * 9000.0 / 16_000.0
     assert all(
-        scene.guaranteed_capacity(s) == pytest.approx(s.size * warmed_up_share) for s in restarted
+        harness.guaranteed_capacity(s) == pytest.approx(s.size * warmed_up_share) for s in restarted
     )
 
 
 # Detection by the proxies' streams
 
 
-def connect_zones(scene, proxies_each=MIN_ZONE_PROXIES):
+def connect_zones(harness, proxies_each=MIN_ZONE_PROXIES):
     """Connects proxies of three zones and returns them by zone."""
-    zones = [[scene.add_proxy(f"{zone}-{k}") for k in range(proxies_each)] for zone in range(3)]
+    zones = [[harness.add_proxy(f"{zone}-{k}") for k in range(proxies_each)] for zone in range(3)]
     for zone, proxies in enumerate(zones):
         for proxy in proxies:
-            scene.connect(proxy, zone)
+            harness.connect(proxy, zone)
     return zones
 
 
@@ -153,86 +153,86 @@
 def test_servers_of_a_zone_whose_proxies_disconnected_count_as_warming_up(
     proxies_each, left, health_checks, lost
 ):
-    scene = ControllerScene(health_checks=health_checks)
-    servers = scene.add_servers(12)
-    scene.disconnect(*connect_zones(scene, proxies_each)[0][left:])
-    scene.evaluate_health()
-    presumed_lost = scene.servers_warming_up()
+    harness = ControllerScene(health_checks=health_checks)
+    servers = harness.add_servers(12)
+    harness.disconnect(*connect_zones(harness, proxies_each)[0][left:])
+    harness.evaluate_health()
+    presumed_lost = harness.servers_warming_up()
     assert presumed_lost == (servers_in_zone(servers, 0) if lost else [])
-    assert all(scene.guaranteed_capacity(s) == initial_capacity(s) for s in presumed_lost)
+    assert all(harness.guaranteed_capacity(s) == initial_capacity(s) for s in presumed_lost)
 
 
 def test_no_zone_is_lost_if_proxies_of_most_zones_disconnect():
     # The relay or the controller itself is more likely at fault.
-    scene = ControllerScene()
-    scene.add_servers(12)
-    zones = connect_zones(scene)
-    scene.disconnect(*zones[0], *zones[1])
-    scene.evaluate_health()
-    assert not scene.servers_warming_up()
+    harness = ControllerScene()
+    harness.add_servers(12)
+    zones = connect_zones(harness)
+    harness.disconnect(*zones[0], *zones[1])
+    harness.evaluate_health()
+    assert not harness.servers_warming_up()
 
 
 def test_no_zone_is_lost_while_proxies_reconnect_zone_by_zone():
     # After a failure of the relay, the last zone to reconnect appears lost beside the others.
-    scene = ControllerScene()
-    scene.add_servers(12)
-    zones = connect_zones(scene, 10)
-    scene.disconnect(*(proxy for proxies in zones for proxy in proxies))
+    harness = ControllerScene()
+    harness.add_servers(12)
+    zones = connect_zones(harness, 10)
+    harness.disconnect(*(proxy for proxies in zones for proxy in proxies))
     for zone in (1, 2):
         for proxy in zones[zone][:3]:
-            scene.connect(proxy, zone)
-    scene.evaluate_health()
-    assert not scene.servers_warming_up()
+            harness.connect(proxy, zone)
+    harness.evaluate_health()
+    assert not harness.servers_warming_up()
 
 
 def test_servers_and_proxies_of_an_unknown_zone_never_count_as_a_lost_zone():
-    scene = ControllerScene()
-    for server in servers_in_zone(scene.add_servers(12), 0):
-        scene.set_zone(server, -1)
-        scene.report_server(server, 3, 2)
-    proxies = [scene.add_proxy(f"unknown-{k}") for k in range(MIN_ZONE_PROXIES)]
+    harness = ControllerScene()
+    for server in servers_in_zone(harness.add_servers(12), 0):
+        harness.set_zone(server, -1)
+        harness.report_server(server, 3, 2)
+    proxies = [harness.add_proxy(f"unknown-{k}") for k in range(MIN_ZONE_PROXIES)]
     for proxy in proxies:
-        scene.connect(proxy, zone=-1)
-    connect_zones(scene)
-    scene.disconnect(*proxies)
-    scene.evaluate_health()
-    assert not scene.servers_warming_up()
+        harness.connect(proxy, zone=-1)
+    connect_zones(harness)
+    harness.disconnect(*proxies)
+    harness.evaluate_health()
+    assert not harness.servers_warming_up()
 
 
 def test_a_proxy_that_connects_twice_and_disconnects_once_is_disconnected():
-    scene = ControllerScene()
-    servers = scene.add_servers(12)
-    proxies = connect_zones(scene)[0]
+    harness = ControllerScene()
+    servers = harness.add_servers(12)
+    proxies = connect_zones(harness)[0]
     for proxy in proxies:
-        scene.connect(proxy)
-    scene.disconnect(*proxies, *proxies)
-    scene.evaluate_health()
-    assert scene.servers_warming_up() == servers_in_zone(servers, 0)
+        harness.connect(proxy)
+    harness.disconnect(*proxies, *proxies)
+    harness.evaluate_health()
+    assert harness.servers_warming_up() == servers_in_zone(servers, 0)
 
 
 def test_a_zone_warms_up_once_its_proxies_are_connected_again():
-    scene = ControllerScene()
-    servers = scene.add_servers(12)
-    zones = connect_zones(scene)
-    scene.disconnect(*zones[0])
-    scene.evaluate_health()
+    harness = ControllerScene()
+    servers = harness.add_servers(12)
+    zones = connect_zones(harness)
+    harness.disconnect(*zones[0])
+    harness.evaluate_health()
     for proxy in zones[0]:
-        scene.connect(proxy)
-    scene.advance(1000.0)
-    scene.evaluate_health()
-    assert scene.servers_warming_up() == servers_in_zone(servers, 0)
-    scene.advance(16_000.0)
-    scene.evaluate_health()
-    assert not scene.servers_warming_up()
+        harness.connect(proxy)
+    harness.advance(1000.0)
+    harness.evaluate_health()
+    assert harness.servers_warming_up() == servers_in_zone(servers, 0)
+    harness.advance(16_000.0)
+    harness.evaluate_health()
+    assert not harness.servers_warming_up()
 
 
 def test_a_zone_without_proxies_for_a_long_time_is_no_longer_lost():
-    scene = ControllerScene()
-    scene.add_servers(12)
-    scene.disconnect(*connect_zones(scene, 2 * MIN_ZONE_PROXIES)[0])
+    harness = ControllerScene()
+    harness.add_servers(12)
+    harness.disconnect(*connect_zones(harness, 2 * MIN_ZONE_PROXIES)[0])
     counts = []
     for _ in range(30):
-        scene.evaluate_health()
-        counts.append(len(scene.servers_warming_up()))
-        scene.advance(2500.0)
+        harness.evaluate_health()
+        counts.append(len(harness.servers_warming_up()))
+        harness.advance(2500.0)
     assert counts[0] == 4 and counts[-1] == 0
