--- a/havendyke/net/assigner.py
+++ b/havendyke/net/assigner.py
@@ -110,7 +110,7 @@
         Only the ids of those that were ejected are kept, at most `limits.max_remembered_ejections`.
         """
         limits = self.event_loop.limits
-        departed = self.registry.forget_departed(limits.max_remembered_ejections)
+        departed = self.registry.remove_unreferenced_servers(limits.max_remembered_ejections)
         self.peer_codecs.endpoint_list.forget(departed)
         self.health_checker.forget(departed)
         self.event_loop.count("servers_forgotten", len(departed))
