--- a/havendyke/net/assigner.py
+++ b/havendyke/net/assigner.py
@@ -105,7 +105,7 @@
         )
 
     def forget_departed(self) -> None:
-        """Removes servers that have left for good, now and every `limits.departed_sweep_interval_ms`.
+        """Removes servers that have left for good, now and every `departed_sweep_interval_ms`.
 
         Only the ids of those that were ejected are kept, at most `limits.max_remembered_ejections`.
         """
--- a/havendyke/net/discovery.py
+++ b/havendyke/net/discovery.py
@@ -181,8 +181,8 @@
             return
         update = parse_object(body)
         all_valid = self.handle_update(query, update)
-        # Not remembered if its version is lower: it is ignored now, and may be the current list once
-        # no watch is left.
+        # Not remembered if its version is lower: it is ignored now, and may be the current list
+        # once no watch is left.
         if update["rev"] == self.version:
             self._last_list = (self.version, digest)
             self.pace.record_list(len(body), self.event_loop.now())
--- a/havendyke/policy/health_checks.py
+++ b/havendyke/policy/health_checks.py
@@ -15,7 +15,10 @@
 
 
 class HealthCheckScheduler:
-    """Orders health checks at bounded rates; writes `checked_ms` and `check_pending` of servers."""
+    """Orders health checks at bounded rates.
+
+    Writes `last_check_ms` and `check_in_flight` of servers.
+    """
 
     def __init__(self, settings: Settings, seed: int, pace: MigrationPace) -> None:
         self._enabled = settings.health_checks
--- a/havendyke/policy/push_scheduler.py
+++ b/havendyke/policy/push_scheduler.py
@@ -165,7 +165,7 @@
         orders += change.orders
         slice_.published = change.published
         slice_.last_push_serial = push.serial
-        # Recorded in addition to `last_push`, which a migration resets.
+        # Recorded in addition to `last_push_serial`, which a migration resets.
         slice_.clearing_push = None if change.published else push
 
     def _add_bindings(
--- a/havendyke/policy/rebalancer.py
+++ b/havendyke/policy/rebalancer.py
@@ -31,7 +31,7 @@
 class Rebalancer:
     """Migrates one slice at a time off servers overloaded for several report intervals.
 
-    Writes `overloaded_intervals` and `released_slice_ms` of servers.
+    Writes `overloaded_intervals` and `last_slice_released_ms` of servers.
     """
 
     def __init__(
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -35,9 +35,7 @@
 
 def full_baseline_load(harness, total_demand):
     """Returns the baseline load of a controller that trusts its estimates of demand."""
-    return (
-        WARM_UP_LOAD_SHARE * harness.overload_factor * total_demand / harness.largest_fleet_capacity
-    )
+    return WARM_UP_LOAD_SHARE * harness.overload_factor * total_demand / harness.peak_fleet_capacity
 
 
 @pytest.mark.parametrize("up_for_ms, reduced", [(1000.0, True), (CAUTIOUS_START_MS + 1, False)])
