--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -9,11 +9,11 @@
     def on_alarm(signum, frame):
         raise TimeoutError("the test did not end within 30 s")
 
-    made, previous = Deployment(tmp_path), signal.signal(signal.SIGALRM, on_alarm)
+    instance, previous = Deployment(tmp_path), signal.signal(signal.SIGALRM, on_alarm)
     signal.alarm(30)
     try:
-        yield made
+        yield instance
     finally:
         signal.alarm(0)
         signal.signal(signal.SIGALRM, previous)
-        made.close()
+        instance.close()
--- a/tests/net/test_assigner.py
+++ b/tests/net/test_assigner.py
@@ -28,7 +28,7 @@
     assert len(sent_orders(call)[0]) == 1 and sent_orders(call)[0][0][-1]["op"] == "SYNC"
 
 
-def test_a_failed_reconciliation_is_logged_and_the_assigner_goes_on():
+def test_a_failed_reconciliation_is_logged_and_the_assigner_keeps_running():
     assigner, event_loop = make_assigner()
     assigner.reconcile()
     reconcile, assigner.registry.controller.reconcile = (
