--- a/havendyke/__main__.py
+++ b/havendyke/__main__.py
@@ -1,4 +1,4 @@
-"""Chooses between the assigner, which the platform runs without a command, and the sub-commands."""
+"""Runs the assigner, which needs no command, or a sub-command."""
 
 import sys
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs what the arguments name; returns the exit status."""
+    """Dispatches the command line; returns the exit status."""
     arguments = sys.argv[1:] if arguments is None else arguments
     if arguments and arguments[0] in COMMANDS:
         from .cli.main import main as run_command
--- a/havendyke/config/__init__.py
+++ b/havendyke/config/__init__.py
@@ -1,6 +1,6 @@
-"""The platform's configuration: read, checked and given defaults.
+"""The configuration that the platform writes: reading, validation and defaults.
 
-`loading` reads the file, `deployment` the deployment's settings and names, `limits` the sizes,
+`loading` reads the file, `deployment` the settings and names of the deployment, `limits` the sizes,
 counts and times of this program. No other module knows a key of the file.
 """
 
--- a/havendyke/config/deployment.py
+++ b/havendyke/config/deployment.py
@@ -1,7 +1,7 @@
-"""The keys of the deployment's settings, mapped to the terms of `interface.Settings`.
+"""Maps the keys of the deployment's settings to `interface.Settings`.
 
-All times of the file are nanoseconds, and milliseconds behind this module. Keys that nothing reads
-may have any value. Every function raises `FieldError`, which names the key.
+Times are nanoseconds in the file and milliseconds in the result. Unknown keys are ignored, whatever
+their values. Every function raises `FieldError`, which names the key.
 """
 
 from collections.abc import Mapping, Sequence
@@ -27,10 +27,10 @@
 }
 DEDUPLICATION_SCOPES = {str(scope): scope for scope in core.DeduplicationScope}
 LOAD_SHEDDING = {str(shedding): shedding for shedding in core.LoadShedding}
-# Whether the endpoint list must be asked for, by the word of `registryMode`.
+# Whether the endpoint list must be requested, by the value of `registryMode`.
 LIST_ON_REQUEST = {"push": False, "ask": True}
-# Whether the endpoint list's sizes tell capacities, by the word of `weightKind`. Live ones do not:
-# they are not used.
+# Whether the sizes in the endpoint list state capacities, by the value of `weightKind`. Live sizes
+# do not and are ignored.
 SIZES_STATED = {"none": False, "live": False, "nominal": True, "rough": True}
 
 MAX_DURATION_MS = 86_400_000.0
@@ -38,35 +38,35 @@
 MIN_LATENCY_MS = 1e-3
 MIN_REPORT_INTERVAL_MS = 1.0
 DEFAULT_REPORT_INTERVAL_MS = 1000.0
-MAX_TABLE_ENTRIES = 1e12  # also of a server's connections, and of entries in a second
+MAX_TABLE_ENTRIES = 1e12  # also the limit for connections of a server and for entries per second
 MIN_CHANNEL_RATE_PER_S = 1e-3  # table entries
 MAX_MESSAGE_OVERHEAD = 1e6  # table entries
-MAX_MESSAGES = 10**9  # to one proxy, within the window
+MAX_MESSAGES = 10**9  # to one proxy within the window
 MAX_OVERLOAD_FACTOR = 1e9  # multiple of a server's capacity
 MAX_SLICES = 65_534
 MAX_PROXIES = 65_536
 MAX_REQUEST_CLASSES = 32
 MAX_CONTROLLERS = 65_536
-MAX_NAME_LENGTH = 40  # characters of a name in an error
+MAX_NAME_LENGTH = 40  # characters of a name quoted in an error
 
 
 @dataclass(frozen=True)
 class WireNames:
-    """Names in the platform's messages; an event has a name's index in these tuples instead."""
+    """Names that messages use; events refer to them by their index in these tuples."""
 
     zones: tuple[str, ...]
     machine_kinds: tuple[str, ...]
     request_classes: tuple[str, ...]
-    has_load_reports: bool  # whether load reports come
+    has_load_reports: bool  # whether load reports are sent
     proxy_count: int  # 0: not stated
 
 
 def read_settings(raw: Mapping[str, Any]) -> core.Settings:
-    """The settings of the configuration's section, with defaults."""
+    """Reads the section `settings` of the configuration."""
     family = read_field(raw, "familyInfo", dict, {})
-    duty = read_field(raw, "obligations", dict, {})
+    obligations = read_field(raw, "obligations", dict, {})
     limits = read_field(raw, "limits", dict, {})
-    # The order of reading is the order in which errors are reported.
+    # Keys are read in the order in which their errors are reported.
     return core.Settings(
         request_classes=_request_classes(raw, family),
         zone_count=len(read_list(raw, "localities", str, [""])),
@@ -79,9 +79,9 @@
             MIN_REPORT_INTERVAL_MS,
             MAX_DURATION_MS,
         ),
-        **_warm_up(duty),
+        **_warm_up(obligations),
         list_on_request=read_choice(raw, "registryMode", LIST_ON_REQUEST, "push"),
-        list_request_timeout_ms=_duration_ms(duty, "askWithin"),
+        list_request_timeout_ms=_duration_ms(obligations, "askWithin"),
         health_checks=read_field(limits, "probes", bool, False),
         load_shedding=read_choice(family, "throttleBy", LOAD_SHEDDING, "none"),
         sizes_stated=read_choice(raw, "weightKind", SIZES_STATED, "none"),
@@ -92,12 +92,13 @@
 
 
 def read_wire_names(raw: object) -> WireNames:
-    """The names that messages use, in the order of the settings."""
+    """Reads the names that messages use, in the order of the settings."""
     names = WireNames(
         zones=tuple(read_list(raw, "localities", str, [])),
         machine_kinds=tuple(read_list(raw, "kinds", str, [])),
         request_classes=tuple(
-            read_field(one, "name", str, "") for one in read_field(raw, "requestClasses", list)
+            read_field(section, "name", str, "")
+            for section in read_field(raw, "requestClasses", list)
         ),
         has_load_reports=read_field(read_field(raw, "telemetry", dict, {}), "source", str, "none")
         != "none",
@@ -130,7 +131,7 @@
             section, "promise", least=MIN_LATENCY_MS, most=MAX_DURATION_MS
         ),
         deadline_ms=read_ms(section, "hardLimit", least=MIN_LATENCY_MS, most=MAX_DURATION_MS),
-        # An unknown word is refused, since a default would be wrong one way or the other.
+        # An unknown value is an error: any default could be wrong, whether too strict or too lax.
         idempotency=read_choice(section, "repeat", IDEMPOTENCY, "side_effect"),
         deduplication_scope=read_choice(section, "group", DEDUPLICATION_SCOPES, "all"),
         deduplication_window_ms=read_ms(section, "window", 0.0, 0.0, MAX_DEDUPLICATION_WINDOW_MS),
@@ -161,22 +162,22 @@
     }
 
 
-def _warm_up(duty: object) -> dict[str, Any]:
+def _warm_up(obligations: object) -> dict[str, Any]:
     return {
-        "warm_up_ms": _duration_ms(duty, "cold"),
-        "initial_capacity_share": read_number(duty, "coldFrom", 1.0, 0.0, 1.0),
+        "warm_up_ms": _duration_ms(obligations, "cold"),
+        "initial_capacity_share": read_number(obligations, "coldFrom", 1.0, 0.0, 1.0),
         "warm_up_overload_factor": read_number(
-            duty, "overloadFactor", UNLIMITED, 1.0, MAX_OVERLOAD_FACTOR
+            obligations, "overloadFactor", UNLIMITED, 1.0, MAX_OVERLOAD_FACTOR
         ),
     }
 
 
 def _controllers(raw: Mapping[str, Any]) -> dict[str, Any]:
-    index = None
+    controller_index = None
     controller_count = read_integer(raw, "balancers", 1, 1, MAX_CONTROLLERS)
     if raw.get("me") is not None:
-        index = read_integer(raw, "me", 0, 0, MAX_CONTROLLERS)
-    return {"controller_count": controller_count, "controller_index": index}
+        controller_index = read_integer(raw, "me", 0, 0, MAX_CONTROLLERS)
+    return {"controller_count": controller_count, "controller_index": controller_index}
 
 
 def _duration_ms(section: object, key: str) -> float:
@@ -184,7 +185,7 @@
 
 
 def _require_distinct(names: Sequence[str], key: str) -> None:
-    """Refuses a name that occurs twice: a message with it could mean either."""
+    """Rejects duplicate names: a message with one of them would be ambiguous."""
     for index, name in enumerate(names):
         if name in names[:index]:
             raise FieldError(f"field '{key}' has the name {name[:MAX_NAME_LENGTH]!r} twice")
--- a/havendyke/config/limits.py
+++ b/havendyke/config/limits.py
@@ -1,4 +1,4 @@
-"""Sizes, counts and times of the protocols, and the part of them that the configuration sets."""
+"""Limits of the protocols, and the part of them that the configuration sets."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -9,166 +9,163 @@
 MIN_MEMORY_MB = 8.0
 MAX_MEMORY_MB = 1e7
 MAX_SOCKETS = 10**7  # file descriptors
-BUFFER_BYTES_PER_MEMORY_MB = 0.25e6  # a quarter of the memory
-MAX_RESERVED_SOCKETS_DIVISOR = 3  # a third of all descriptors is reserved at most
+BUFFER_BYTES_PER_MEMORY_MB = 0.25e6  # buffers may take a quarter of the memory
+MAX_RESERVED_SOCKETS_DIVISOR = 3  # at most a third of all descriptors is reserved
 MIN_CONNECT_TIMEOUT_MS = 1.0
 MAX_CONNECT_TIMEOUT_MS = 60_000.0
 
 
 @dataclass(frozen=True)
 class Limits:
-    """Limits of the protocols, read once at the start. Times are in milliseconds."""
+    """Sizes, counts and times of the protocols, read once at startup."""
 
-    # Of the process.
+    # Process.
 
-    # MB of memory that the process may use; the buffers' part follows from it.
+    # Memory that the process may use; the budget of the buffers is derived from it.
     memory_mb: float = 192.0
     # File descriptors.
     sockets: int = 1024
-    # Descriptors for files and the listener; a third of all where that is less.
+    # Descriptors reserved for files and the listener; at most a third of all.
     reserved_sockets: int = 64
-    # The fewest descriptors with which the assigner starts.
+    # The smallest number of descriptors with which the assigner starts.
     min_sockets: int = 48
-    # Connections of all kinds at a time.
+    # Concurrent connections of all kinds.
     max_connections: int = 4096
 
-    # Of a connection, in bytes.
+    # Each connection.
 
-    # One complete message.
     max_message_bytes: int = 1 << 20
-    # A connection's buffer at first.
     initial_buffer_bytes: int = 1 << 14
-    # What all buffers together may grow by beyond their first size.
+    # Growth of all buffers together beyond their initial sizes.
     buffer_budget_bytes: float = 48e6
     # Written bytes that the peer has not read yet.
     max_write_buffer_bytes: int = 1 << 16
-    # The head of an HTTP message.
+    # One line of an HTTP head; also the body of the response to a health check.
     max_header_bytes: int = 1 << 14
 
-    # Of connections to and from others.
+    # Outgoing connections and clients.
 
-    # ms until a connection must be up.
     connect_timeout_ms: float = 250.0
-    # ms until a caller that names no zone is closed; with all slots taken, the oldest is at once.
+    # Time for a client to name its zone. With all slots taken, the oldest unidentified client is
+    # closed at once.
     identify_timeout_ms: float = 1500.0
-    # Bytes of a message before the caller has named its zone.
+    # One message of a client that has not named its zone.
     max_unidentified_message_bytes: int = 1 << 12
-    # Bytes of a caller's buffer at first.
+    # Initial buffer of a client's connection.
     initial_client_buffer_bytes: int = 1 << 12
-    # ms for which the peer may go on after our last message to it.
+    # Time for which the peer may go on sending after our last message to it.
     linger_ms: float = 200.0
-    # Connections that linger at a time; others are cut off.
+    # Connections that linger at a time; beyond that, connections are aborted.
     max_lingering_connections: int = 32
 
-    # Of load reports.
+    # Load reports.
 
-    # ms without a message after which a collector's connection is closed.
+    # Time without a message after which a collector's connection is closed.
     collector_silence_timeout_ms: float = 20_000.0
     # Requests in one report.
     max_report_requests: int = 1_000_000
-    # Any other figure in a report, times among them.
+    # Any other number in a report, times included.
     max_reported_value: float = 1e6
 
-    # Of the relay.
+    # Relay.
 
-    # Bytes of the orders in one call; the relay takes 60,000.
+    # Orders of one call; the relay accepts 60,000 bytes.
     max_call_bytes: int = 59_000
-    # ms to wait for a call's answer; the relay answers within 50 ms or never.
+    # Time to wait for the reply to a call; the relay replies within 50 ms or never.
     call_timeout_ms: float = 100.0
-    # ms after which an idle connection is closed, before the relay closes it under a call.
+    # Time after which an idle connection is closed, before the relay closes it during a call.
     call_idle_timeout_ms: float = 1500.0
-    # ms of the first backoff, while the relay is away or rejects calls.
+    # First backoff while the relay is unavailable or rejects calls.
     min_relay_backoff_ms: float = 50.0
-    # ms of the longest backoff, of everything that is retried.
+    # Longest backoff of everything that is retried.
     max_backoff_ms: float = 500.0
-    # ms until the published tables must have been read back.
+    # Time until a snapshot of the published tables must be complete.
     snapshot_timeout_ms: float = 500.0
-    # ms after the assignment of a slice in which late entries of its table still belong to it.
+    # Time after the assignment of a slice in which late entries still belong to its table.
     late_entry_window_ms: float = 1000.0
-    # ms in which, as a rule, some proxy acknowledges a push that was carried out.
+    # Time within which at least one proxy usually acknowledges a push that was carried out.
     push_ack_wait_ms: float = 700.0
     # Connections that carry the relay's watch events.
     relay_watch_count: int = 2
-    # ms of silence after which a watch is closed: two pings missed.
+    # Silence after which a watch is closed: two missed pings.
     relay_watch_silence_timeout_ms: float = 2300.0
-    # ms of silence after which a watch is no proof that nothing was lost on another: one missed.
+    # Silence after which a watch no longer proves that another one lost nothing: one missed ping.
     relay_watch_overdue_ms: float = 1300.0
-    # ms for which a slice's watch events wait for its entries, and orders for proxies that connect.
+    # Time for which a slice's watch events wait for its entries, and orders for connecting proxies.
     relay_settle_ms: float = 60.0
-    # ms for which orders wait at most for proxies that connect.
+    # Longest time for which orders wait for connecting proxies.
     max_proxy_connect_wait_ms: float = 1500.0
 
-    # Of discovery.
+    # Discovery.
 
-    # Watches at a time.
+    # Concurrent watches.
     discovery_watch_count: int = 2
-    # ms of silence after which a watch is closed.
+    # Silence after which a watch is closed.
     discovery_silence_timeout_ms: float = 2600.0
-    # ms until a failed request is retried.
+    # Delay before a failed request is retried.
     discovery_retry_ms: float = 300.0
-    # ms between checks of the complete list, half of the time after which all entries are expired.
+    # Time between checks of the complete list: half of the time after which all entries expire.
     discovery_check_interval_ms: float = 3000.0
-    # Where complete lists would cost more, checks ask for what changed since the cached version.
+    # Budget for complete lists. Where one at each check would exceed it, checks request the changes
+    # since the known version instead.
     discovery_bytes_per_s: float = 13_000.0
-    # ms in which the watches must report what a check by version reported before them.
+    # Time in which the watches must bring an update that a check by version brought first.
     discovery_settle_ms: float = 100.0
-    # ms for which streams at an old address go on beside the first at the new one.
+    # Time for which streams at an old address continue after the first one at the new address.
     address_overlap_ms: float = 500.0
 
-    # Of health checks.
+    # Health checks.
 
-    # ms until an answer is overdue.
     health_check_timeout_ms: float = 500.0
-    # ms until the connection must be up; the settings' own figure, where they state one.
+    # The settings' value takes precedence.
     health_check_connect_timeout_ms: float = 250.0
-    # Health checks at a time, or a quarter of the slots; others wait.
+    # Concurrent health checks, at most a quarter of the slots; others are queued.
     max_health_checks: int = 1024
 
-    # Of the listener.
+    # Listener.
 
-    # Connections from others at a time.
+    # Concurrent connections of clients.
     max_clients: int = 1024
     # Connections that wait to be accepted.
     listen_backlog: int = 1024
     # Connections accepted at once: more would hold descriptors before any is released.
     accept_batch_size: int = 16
 
-    # Of the event loop.
+    # Event loop.
 
-    # ms by which a deadline may be late; beyond, it waits once more, so that input goes first.
+    # Lateness of a deadline beyond which deadlines are postponed once, so that pending input is
+    # read first.
     stall_threshold_ms: float = 100.0
-    # ms for which it then waits.
+    # Delay of the deadlines after such a stall.
     catch_up_ms: float = 30.0
-    # Lines of the log in a second.
     max_log_lines_per_s: int = 200
-    # Of these, lines of one event.
     max_log_lines_per_event_per_s: int = 40
-    # ms until the listener is retried.
+    # Delay before the listener is retried.
     listen_retry_ms: float = 100.0
-    # ms between searches for servers that have left for good.
+    # Time between searches for servers that have left for good.
     departed_sweep_interval_ms: float = 5000.0
     # Ids of departed servers that are remembered as ejected.
     max_remembered_ejections: int = 8192
-    # ms until a reconciliation after a failed one.
+    # Delay of the reconciliation after a failed one.
     reconcile_retry_ms: float = 250.0
-    # ms between log lines with what the controller observes.
+    # Time between log lines that summarize the fleet.
     summary_interval_ms: float = 1000.0
 
 
 def read_limits(raw: object, settings: Mapping[str, Any]) -> Limits:
-    """The limits of the configuration's own section and of its settings."""
+    """The limits that result from the configuration's section `limits` and from its settings."""
     sockets = read_integer(raw, "sockets", Limits.sockets, Limits.min_sockets, MAX_SOCKETS)
     memory_mb = float(read_number(raw, "memory_mb", Limits.memory_mb, MIN_MEMORY_MB, MAX_MEMORY_MB))
-    reserve = min(Limits.reserved_sockets, sockets // MAX_RESERVED_SOCKETS_DIVISOR)
-    slots = min(Limits.max_connections, sockets - reserve)
+    reserved_sockets = min(Limits.reserved_sockets, sockets // MAX_RESERVED_SOCKETS_DIVISOR)
+    max_connections = min(Limits.max_connections, sockets - reserved_sockets)
     return Limits(
         memory_mb=memory_mb,
         sockets=sockets,
-        max_connections=slots,
+        max_connections=max_connections,
         buffer_budget_bytes=memory_mb * BUFFER_BYTES_PER_MEMORY_MB,
-        max_clients=min(Limits.max_clients, slots // 2),
-        accept_batch_size=min(Limits.accept_batch_size, slots // 8),
-        max_health_checks=min(Limits.max_health_checks, slots // 4),
+        max_clients=min(Limits.max_clients, max_connections // 2),
+        accept_batch_size=min(Limits.accept_batch_size, max_connections // 8),
+        max_health_checks=min(Limits.max_health_checks, max_connections // 4),
         health_check_connect_timeout_ms=read_ms(
             read_field(settings, "limits", dict, {}),
             "connectTimeout",
--- a/havendyke/config/loading.py
+++ b/havendyke/config/loading.py
@@ -1,4 +1,4 @@
-"""Reads the configuration's file, and checks it against the environment's variables."""
+"""Reads the configuration file and checks it against the environment variables."""
 
 import re
 from collections.abc import Mapping
@@ -14,17 +14,17 @@
 
 VARIABLE_PREFIX = "ROUTER_"
 PATH_VARIABLE = f"{VARIABLE_PREFIX}CONFIG"
-# Keys that the environment may repeat; a value that differs from the file's is an error.
+# Keys that environment variables may repeat; a value that differs from the file's is an error.
 REPEATED_KEYS = ("name", "listen", "discovery")
 PORTS = range(1, 65_536)
-MAX_VALUE_LENGTH = 60  # characters of a value in an error
+MAX_VALUE_LENGTH = 60  # characters of a value quoted in an error
 
 Environment: TypeAlias = Mapping[str, str]
-Address: TypeAlias = tuple[str, int]  # host and port
+Address: TypeAlias = tuple[str, int]  # host, port
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be used; the text names the key and what was expected."""
+    """The configuration is invalid; the text names the key and what was expected."""
 
 
 @dataclass(frozen=True)
@@ -35,17 +35,18 @@
     listen: Address
     discovery: Address
     relay: Address
-    seed: int  # of pseudo-random choices; the same seed makes the same ones
-    known: dict[str, Any]  # an endpoint list to start with, in discovery's words; may be empty
+    seed: int  # of the pseudo-random choices; equal seeds give equal choices
+    known: dict[str, Any]  # initial endpoint list in discovery's format; may be empty
     settings: core.Settings
     wire_names: WireNames
     limits: Limits = field(default_factory=Limits)
 
 
 def load_config(environ: Environment, path: str | None = None, reloading: bool = False) -> Config:
-    """The configuration of a file, which a variable names by default; raises `ConfigError`.
+    """Reads the configuration file, by default the one that `ROUTER_CONFIG` names.
 
-    On a reload the variables are those of the start, and the file may differ from them.
+    Raises `ConfigError`. On a reload the file is not compared with the environment variables: they
+    are those of the start, and the file may have changed since.
     """
     path = path or environ.get(PATH_VARIABLE)
     if not path:
@@ -59,7 +60,7 @@
 
 
 def parse_config(data: bytes, source: str, environ: Environment) -> Config:
-    """The configuration of a file's bytes; raises `ConfigError`. `source` stands in errors."""
+    """Parses the bytes of a file; `source` names it in errors. Raises `ConfigError`."""
     try:
         raw = orjson.loads(data)
     except ValueError as error:
@@ -71,7 +72,7 @@
 
 
 def read_config(raw: object, environ: Environment) -> Config:
-    """The configuration of a parsed file; raises `ConfigError` or `FieldError`."""
+    """Reads the JSON value of a file; raises `ConfigError` or `FieldError`."""
     if not isinstance(raw, dict):
         raise ConfigError(f"the configuration must be an object, not {excerpt(raw)}")
     _compare_with_variables(raw, environ)
@@ -96,7 +97,7 @@
 
 
 def parse_address(text: str, key: str) -> Address:
-    """The address of `host:port`; raises `ConfigError`, which names the key."""
+    """Parses `host:port`; raises `ConfigError`, which names the key."""
     host, _, port = text.rpartition(":")
     if not host or not re.fullmatch("[0-9]{1,5}", port) or int(port) not in PORTS:
         raise ConfigError(f"'{key}' must be host:port, not {text[:MAX_VALUE_LENGTH]!r}")
@@ -106,11 +107,11 @@
 def _compare_with_variables(raw: Mapping[str, Any], environ: Environment) -> None:
     for key in REPEATED_KEYS:
         variable = f"{VARIABLE_PREFIX}{key.upper()}"
-        stated = environ.get(variable)
-        if stated is not None and stated != read_field(raw, key, str):
+        expected = environ.get(variable)
+        if expected is not None and expected != read_field(raw, key, str):
             raise ConfigError(
                 f"'{key}' is {raw[key][:MAX_VALUE_LENGTH]!r}, "
-                f"but {variable} is {stated[:MAX_VALUE_LENGTH]!r}"
+                f"but {variable} is {expected[:MAX_VALUE_LENGTH]!r}"
             )
 
 
--- a/havendyke/process.py
+++ b/havendyke/process.py
@@ -1,4 +1,4 @@
-"""The assigner's process: its parts assembled, and what signals ask of it."""
+"""The assigner's process: assembles the components and handles signals."""
 
 import asyncio
 import os
@@ -18,9 +18,9 @@
 
 
 class AssignerProcess:
-    """One assigner on sockets; is made and runs inside the event loop.
+    """One assigner on sockets; created and run inside a running asyncio loop.
 
-    Raises `ConfigError` where the configuration cannot be started with.
+    Raises `ConfigError` if the assigner cannot start with the configuration.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         operator_path: str | None,
         check_only: bool,
     ) -> None:
-        """Assembles the parts; `check_only` leaves the state on disk alone."""
+        """Creates the components; `check_only` does not open the durable state."""
         self._config = config
         self._config_path = config_path
         self._operator_settings = operator_settings
@@ -45,10 +45,10 @@
             self._durable = None if check_only else open_durable_state(operator_settings, log)
             self._assigner = Assigner(config, self._event_loop, self._durable)
         except ValueError as error:
-            raise ConfigError(f"the configuration cannot be started with: {error}") from None
+            raise ConfigError(f"cannot start with this configuration: {error}") from None
 
     async def run(self, early_signals: EarlySignals) -> NoReturn:
-        """Serves until a signal ends the process."""
+        """Runs until a signal ends the process."""
         set_nonblocking(STDOUT)
         handlers = {
             signal.SIGUSR1: self.print_counters,
@@ -70,18 +70,19 @@
             await asyncio.Event().wait()
 
     def print_counters(self) -> None:
-        """Prints all counters as one JSON line on standard output."""
+        """Writes all counters to standard output as one JSON line."""
         try:
             os.write(STDOUT, encode_counters(self._assigner.counters()))
         except OSError:
-            # A reader that does not read must stop neither the loop nor its end.
+            # A full pipe must block neither the event loop nor the shutdown.
             self._event_loop.count("counters_not_written")
 
     def reload(self) -> None:
-        """Reads both files again; a wrong one changes nothing, as they may depend on each other.
+        """Reads the configuration and the operator's file again.
 
-        Only the peers' addresses change now. Everything else waits for a restart, as does all of
-        the operator's file.
+        An error in either file changes nothing, as they may depend on each other. Only the
+        addresses of peers take effect now; everything else, such as the whole operator's file,
+        takes effect at the next start.
         """
         try:
             operator_settings = read_operator_file(self._operator_path)
@@ -94,7 +95,7 @@
         self._assigner.reload(config, ["operator"] if changed else [])
 
     def shut_down(self) -> NoReturn:
-        """Ends the process at once: what is in flight needs no end, the next start takes over."""
+        """Ends the process at once: the next start takes over what is in flight."""
         try:
             if self._durable:
                 self._durable.close()
--- a/havendyke/signals.py
+++ b/havendyke/signals.py
@@ -1,4 +1,4 @@
-"""Signals of the process: those that come before the event loop runs wait for it."""
+"""Signal handling before the event loop runs."""
 
 import asyncio
 import os
@@ -10,30 +10,30 @@
 
 
 def ignore_unused_signals() -> None:
-    """Keeps SIGUSR2, which has no meaning here, from ending the process."""
+    """Ignores SIGUSR2, which has no use here and would end the process by default."""
     signal.signal(signal.SIGUSR2, signal.SIG_IGN)
 
 
 class EarlySignals:
-    """Signals that arrive between the start of the process and that of its event loop.
+    """Handles signals between the start of the process and the start of its event loop.
 
-    A termination is carried out at once. Others are recorded until `hand_over`: the files may have
-    changed after they were read, and a reload that is ignored would be lost for good.
+    SIGTERM and SIGINT end the process at once. SIGHUP and SIGUSR1 are recorded until `hand_over`:
+    the files may change after they were read, and an ignored reload would never be made up for.
     """
 
     def __init__(self) -> None:
-        """Changes no handler before `install`."""
+        """Has no effect on the process before `install`."""
         self._received: list[int] = []
 
     def install(self) -> None:
-        """Replaces the default handlers; called before the configuration is read."""
+        """Installs the handlers; to be called before the configuration is read."""
         for number in (signal.SIGHUP, signal.SIGUSR1):
             signal.signal(number, self._record)
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, _exit_at_once)
 
     def hand_over(self, loop: asyncio.AbstractEventLoop, handlers: SignalHandlers) -> None:
-        """Has the loop call the handlers from now on, first those of the recorded signals."""
+        """Registers the handlers with the loop and schedules those of recorded signals."""
         for number, handler in handlers.items():
             loop.add_signal_handler(number, handler)
         for received in dict.fromkeys(self._received):
--- a/havendyke/start.py
+++ b/havendyke/start.py
@@ -1,4 +1,4 @@
-"""Starts the assigner as the command line asks."""
+"""Entry point of the assigner: command-line options, configuration and exit status."""
 
 import asyncio
 import os
@@ -13,11 +13,11 @@
 from .signals import EarlySignals, ignore_unused_signals
 
 EXIT_OK = 0
-EXIT_BAD_CONFIGURATION = 2  # also of arguments that `argparse` rejects
+EXIT_BAD_CONFIGURATION = 2  # also the status of `argparse` for invalid arguments
 
 
 class Options(NamedTuple):
-    """What the command line asks for; the environment names the files that it does not."""
+    """Command-line options; environment variables name the files that the options leave out."""
 
     config: str | None = None
     operator: str | None = None
@@ -25,9 +25,9 @@
 
 
 def parse_options(arguments: Sequence[str]) -> Options:
-    """The options of a command line.
+    """Parses the arguments.
 
-    The parser is imported only where there are arguments; the deployed start has none.
+    `argparse` is imported only where there are arguments, as the deployed command has none.
     """
     if not arguments:
         return Options()
@@ -35,15 +35,13 @@
 
     parser = ArgumentParser(
         prog="havendyke",
-        description="One assigner on sockets.",
+        description="Runs one assigner.",
         epilog=command_summary(),
         formatter_class=RawDescriptionHelpFormatter,
     )
-    parser.add_argument("--config", help="the configuration's file; ROUTER_CONFIG by default")
-    parser.add_argument("--operator", help="the operator's own file; HAVENDYKE_OPERATOR by default")
-    parser.add_argument(
-        "--check", action="store_true", help="read and check the configuration, then end"
-    )
+    parser.add_argument("--config", help="configuration file; default: $ROUTER_CONFIG")
+    parser.add_argument("--operator", help="operator's file; default: $HAVENDYKE_OPERATOR")
+    parser.add_argument("--check", action="store_true", help="check the configuration and exit")
     return Options(**vars(parser.parse_args(arguments)))
 
 
@@ -63,7 +61,7 @@
 def main(arguments: Sequence[str]) -> int:
     """Runs the assigner, or only checks its configuration; returns the exit status.
 
-    A run returns only where it cannot start: a signal ends the process itself.
+    A run returns only if it cannot start: after that, a signal handler ends the process.
     """
     arguments = arguments[1:] if arguments[:1] == [RUN] else arguments
     options = parse_options(arguments)
