--- a/fuzz/faults.py
+++ b/fuzz/faults.py
@@ -48,7 +48,7 @@
     Fault(
         "head_searched_anew",
         "net/json_lines.py",
-        "            self._scanned = size\n            return None",
+        "            self._searched_bytes = size\n            return None",
         "            return None",
         "lines",
     ),
@@ -175,7 +175,7 @@
         "watch_not_renewed",
         "net/discovery.py",
         "        self._open_watches_after(0.0 if at_once else delay_ms)",
-        '        why == "silent" or self._open_watches_after(0.0 if at_once else delay_ms)',
+        '        reason == "silent" or self._open_watches_after(0.0 if at_once else delay_ms)',
         "lists",
     ),
     Fault(
--- a/havendyke/net/buffer.py
+++ b/havendyke/net/buffer.py
@@ -1,9 +1,10 @@
-"""The bytes of one connection, or of one body, that no message has consumed yet.
+"""Receive buffers with a shared budget.
 
-A parser reads `data[start:end]` and moves `start`; messages are slices of the buffer.
+A buffer holds the unparsed bytes of one connection or of one message body. A parser reads
+`data[start:end]` and advances `start`; messages are slices of the buffer.
 """
 
-# Bytes by which a full buffer may exceed the longest message, so that its end fits as well.
+# Bytes by which a buffer may exceed the longest message, so that the message's end fits as well.
 MESSAGE_END_SIZE = 4096
 
 
@@ -12,32 +13,33 @@
 
 
 class BufferBudget:
-    """Bytes by which the buffers of all connections together may exceed their first sizes.
+    """Bytes by which the buffers of all connections together may exceed their initial sizes.
 
-    Many long messages at once end their own connections and no others.
+    When it is exhausted by many long messages at once, the connections of such messages are closed
+    and no others.
     """
 
     def __init__(self, size: float) -> None:
-        """`size`: bytes that are left at first."""
+        """`size`: the budget in bytes."""
         self.left = size
 
     def take(self, size: int) -> None:
-        """Takes bytes from the budget, or gives them back where `size` is negative.
+        """Takes bytes from the budget, or returns them if `size` is negative.
 
-        Raises `MessageTooLongError` where they are not left.
+        Raises `MessageTooLongError` if the budget is too small.
         """
         if size > self.left:
-            raise MessageTooLongError("the buffers are full")
+            raise MessageTooLongError("the budget of the buffers is exhausted")
         self.left -= size
 
 
 class Buffer:
-    """Holds unread bytes; grows from `min_size` bytes up to a message of `max_message_size`."""
+    """Holds unparsed bytes; grows from `min_size` bytes to fit a message of `max_message_size`."""
 
     def __init__(
         self, min_size: int, max_message_size: int, budget: BufferBudget | None = None
     ) -> None:
-        """Sizes are bytes; without a budget, as for a body, only `max_message_size` limits it."""
+        """Sizes are in bytes; without a budget only `max_message_size` limits the buffer."""
         self.data = bytearray(min_size)
         self.start = 0
         self.end = 0
@@ -46,15 +48,15 @@
         self._budget = budget or BufferBudget(float("inf"))
 
     def release(self) -> None:
-        """Gives back to the budget what the buffer took; for the end of its connection."""
+        """Returns the buffer's growth to the budget; called at the end of its connection."""
         self._budget.take(self._min_size - len(self.data))
         self.data = bytearray(self._min_size)
         self.start = self.end = 0
 
     def free_space(self) -> memoryview:
-        """Where the next bytes go; never empty.
+        """Returns the space for the next bytes, which is never empty.
 
-        Raises `MessageTooLongError` where a message has no end within its limit.
+        Raises `MessageTooLongError` if a message does not end within its limit.
         """
         if self.start == self.end:
             self.start = self.end = 0
@@ -65,7 +67,7 @@
         return memoryview(self.data)[self.end :]
 
     def append(self, chunk: bytes | memoryview) -> None:
-        """Adds bytes that come from elsewhere than a socket, such as chunks of a body."""
+        """Adds bytes that are not read from a socket, such as the chunks of a body."""
         while chunk:
             free_space = self.free_space()
             count = min(len(free_space), len(chunk))
@@ -76,11 +78,11 @@
     def _compact_or_grow(self) -> None:
         unread = self.end - self.start
         if unread > self._max_message_size:
-            raise MessageTooLongError(f"a message is over {self._max_message_size} bytes")
+            raise MessageTooLongError(f"a message is longer than {self._max_message_size} bytes")
         size = len(self.data)
         if 2 * unread > size:
             size = min(2 * size, self._max_message_size + MESSAGE_END_SIZE)
-        # Not moved in place: messages that are slices of the old bytes may still be in use.
+        # Copied, not moved in place: messages that are slices of the old bytes may be in use.
         data = self._allocate(size)
         data[:unread] = memoryview(self.data)[self.start : self.end]
         self.data = data
--- a/havendyke/net/collectors.py
+++ b/havendyke/net/collectors.py
@@ -1,7 +1,4 @@
-"""Connections that others open to the assigner.
-
-Collectors send load reports; anybody may ask whether the assigner is alive.
-"""
+"""Incoming connections: collectors, which send load reports, and clients that only send pings."""
 
 from __future__ import annotations
 
@@ -25,16 +22,17 @@
 
 
 class Client:
-    """One connection: unidentified until it names its zone, a collector from then on.
+    """One incoming connection: unidentified until it names its zone, then a collector.
 
-    A malformed message of a collector costs that message alone. An unidentified client is closed
-    for it, and after a time whatever it sends: with pings alone it could stay for good.
+    A malformed message of a collector is discarded, and the connection stays. An unidentified
+    client is closed for it, and after a timeout in any case: otherwise it could keep its connection
+    forever by pings alone.
     """
 
     name = "clients"
 
     def __init__(self, collectors: Collectors) -> None:
-        """The connection is set by `Collectors.accept`."""
+        """`Collectors.accept` sets the connection."""
         self.zone: str | None = None
         self.connection: Connection
         self._collectors = collectors
@@ -44,30 +42,30 @@
         self._silence_timer = Timer(self._event_loop, self._check_silence)
 
     def opened(self, connection: Connection) -> None:
-        """Begins to wait for the client's zone."""
+        """Starts the timeout for the client to name its zone."""
         limits = self._event_loop.limits
         self._parser = RespParser(connection.buffer, limits.max_unidentified_message_bytes)
         self._identify_timer.start(limits.identify_timeout_ms)
 
     def received(self, connection: Connection) -> None:
-        """Takes all messages that are complete."""
+        """Handles all complete messages."""
         while not connection.ended and (message := self._parser.next()) is not None:
             try:
-                self._take_message(message)
+                self._handle_message(message)
             except ValueError as error:
                 self._reject_message(error)
 
-    def closed(self, connection: Connection, why: str) -> None:
-        """Gives up its place among the clients."""
+    def closed(self, connection: Connection, reason: str) -> None:
+        """Removes the client."""
         self._identify_timer.cancel()
         self._silence_timer.cancel()
         if self in self._collectors.clients:
             self._collectors.clients.remove(self)
         if self.zone is not None:
-            self._event_loop.log("collector_disconnected", zone=self.zone, why=why)
+            self._event_loop.log("collector_disconnected", zone=self.zone, why=reason)
 
-    def _take_message(self, message: Message) -> None:
-        kind = _kind(message)
+    def _handle_message(self, message: Message) -> None:
+        kind = _message_kind(message)
         if kind == b"PING":
             self._event_loop.count("pings")
             self.connection.write(PONG)
@@ -75,7 +73,7 @@
             self._identify(self._collectors.messages.reports.zone_name(message))
         elif self.zone is None:
             quoted = decode_text(kind)[:MAX_QUOTED_KIND_CHARS]
-            raise FieldError(f"kind '{quoted}' before a joining")
+            raise FieldError(f"message '{quoted}' before the client named its zone")
         else:
             report = self._collectors.messages.reports.decode(message)
             name = decode_text(kind).lower()
@@ -95,7 +93,7 @@
 
     def _reject(self) -> None:
         self.connection.write(NACK)
-        # A client that is rejected stays no longer than one that says nothing.
+        # A rejected client does not stay longer than a silent one.
         time_left_ms = self._identify_timer.at_ms - self._event_loop.now()
         linger_ms = min(self._event_loop.limits.linger_ms, time_left_ms)
         self.connection.close("refused", linger_ms)
@@ -108,7 +106,7 @@
         self._event_loop.log("collector_connected", zone=zone)
 
     def _check_silence(self) -> None:
-        # A half-open connection stays silent for good, and its place would never come free.
+        # A half-open connection stays silent forever and would keep its slot.
         limit_ms = self._event_loop.limits.collector_silence_timeout_ms
         silent_ms = self._event_loop.now() - self.connection.last_received_ms
         if silent_ms >= limit_ms:
@@ -121,36 +119,38 @@
 
 
 class Collectors:
-    """All clients, at most `limits.max_clients` at a time; a new one takes another's place."""
+    """All clients: `limits.max_clients` at most, beyond which a new one evicts another."""
 
     def __init__(self, event_loop: EventLoop, messages: Messages, notify: NotifyReport) -> None:
-        """`notify` gets each load report."""
+        """`notify` is called with each load report."""
         self.event_loop = event_loop
         self.messages = messages
         self.notify = notify
         self.clients: list[Client] = []
 
     def accept(self) -> Connection:
-        """The connection of a new client; closed already where no slot is free."""
+        """Creates the connection of a new client, closed already if no slot is free."""
         if len(self.clients) >= self.event_loop.limits.max_clients:
             self._evict_client()
         client = Client(self)
         client.connection = self.event_loop.accept(client)
         if not client.connection.ended:
-            # Counted before it is up: the loop accepts many before the first of them is.
+            # Added before it is established: the loop accepts many before the first of them is.
             self.clients.append(client)
         return client.connection
 
     def _evict_client(self) -> None:
-        """Closes an unidentified client, else the one that has been silent for longest.
+        """Closes the client that was silent for longest, unidentified clients first.
 
         Half-open connections must not keep collectors out.
         """
-        last = min(self.clients, key=lambda c: (c.zone is not None, c.connection.last_received_ms))
-        last.connection.close("evicted")
+        evicted = min(
+            self.clients, key=lambda c: (c.zone is not None, c.connection.last_received_ms)
+        )
+        evicted.connection.close("evicted")
 
 
-def _kind(message: Message) -> bytes:
-    """The first word of a message; empty where it has none."""
-    first = message[0] if message else None
-    return b"" if first is None else bytes(first).upper()
+def _message_kind(message: Message) -> bytes:
+    """The kind of a message, its first part in upper case; empty if there is none."""
+    kind = message[0] if message else None
+    return b"" if kind is None else bytes(kind).upper()
--- a/havendyke/net/connection.py
+++ b/havendyke/net/connection.py
@@ -1,4 +1,4 @@
-"""One socket, in or out: its buffer, its end and the calls to its peer."""
+"""Connections: the asyncio protocol, with a receive buffer, a slot and errors confined to it."""
 
 from __future__ import annotations
 
@@ -17,53 +17,53 @@
 
 
 class Peer(Protocol):
-    """Who speaks the protocol of a connection."""
+    """The application protocol of a connection."""
 
-    name: str  # of its kind, in the log and the counters
+    name: str  # the kind of peer, in log lines and counters
 
     def opened(self, connection: Any) -> None:
-        """The connection is up."""
+        """Called once the connection is established."""
 
     def received(self, connection: Any) -> None:
-        """More bytes are in the connection's buffer."""
+        """Called when the connection's buffer has received bytes."""
 
-    def closed(self, connection: Any, why: str) -> None:
-        """The connection has ended; called once."""
+    def closed(self, connection: Any, reason: str) -> None:
+        """Called once when the connection has ended."""
 
 
 class CloseReason(StrEnum):
-    """Why the relay's client and watch close connections, in the log and the counters.
+    """Reasons of the relay's client and watch for closing connections, in the log and counters.
 
-    The text of any other reason stands where `Connection.close` is called.
+    All other reasons are literals in calls of `Connection.close`.
     """
 
     IDLE = "idle"
-    MOVED = "moved"  # the other side has another address now
+    MOVED = "moved"  # the peer has a new address
     SILENT = "silent"
     DONE = "done"
     OVERDUE = "overdue"
 
 
 class ConnectionState(Enum):
-    """Where a connection is in its life."""
+    """Lifecycle of a connection."""
 
     CONNECTING = "connecting"
     OPEN = "open"
-    LINGERING = "lingering"  # ended for its peer; bytes of the other side are read and discarded
+    LINGERING = "lingering"  # `Peer` is notified; received bytes are discarded
     CLOSED = "closed"
 
 
 class Connection(asyncio.BufferedProtocol):
-    """A connection with a slot of the event loop and a buffer.
+    """A connection that occupies a slot of the event loop and has a buffer.
 
-    An error that the peer raises ends this connection and no other: `ValueError` where the other
-    side sent what cannot be read, anything else for a defect of ours.
+    An exception in a method of `Peer` closes this connection and no other. `ValueError` means that
+    the remote end sent a malformed message, any other exception that this program has a defect.
     """
 
     def __init__(
         self, event_loop: EventLoop, peer: Peer, initial_buffer_size: int | None = None
     ) -> None:
-        """The buffer begins with `initial_buffer_size` bytes, or with those of the limits."""
+        """`initial_buffer_size`: bytes; the size that the limits state by default."""
         limits = event_loop.limits
         self.event_loop = event_loop
         self.peer = peer
@@ -77,15 +77,15 @@
         self.transport: asyncio.Transport | None = None
         self.deadline: Deadline | None = None
         self.connect_task: asyncio.Task[None] | None = None
-        self.last_received_ms = event_loop.now()  # at first, when it was made
+        self.last_received_ms = event_loop.now()  # initially the time of creation
 
     @property
     def ended(self) -> bool:
-        """Whether the connection has ended for its peer."""
+        """Whether the connection has ended as far as its `Peer` is concerned."""
         return self.state in (ConnectionState.LINGERING, ConnectionState.CLOSED)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Of asyncio: the socket is connected."""
+        """Called by asyncio when the socket is connected."""
         self.transport = cast(asyncio.Transport, transport)
         if self.ended:
             self.transport.abort()
@@ -96,26 +96,26 @@
         self._call_peer(self.peer.opened, self)
 
     def get_buffer(self, sizehint: int) -> memoryview | bytearray:
-        """Of asyncio: where the next bytes go."""
+        """Called by asyncio for the space for the next bytes."""
         free_space = None if self.ended else self._call_peer(self.buffer.free_space)
-        # What comes after the end is read and discarded.
+        # Bytes that arrive after the end are discarded.
         return self.event_loop.discard_buffer if free_space is None else free_space
 
     def buffer_updated(self, count: int) -> None:
-        """Of asyncio: so many bytes have come."""
+        """Called by asyncio when `count` bytes were received."""
         if not self.ended:
             self.buffer.end += count
             self.last_received_ms = self.event_loop.now()
             self._call_peer(self.peer.received, self)
 
     def eof_received(self) -> bool:
-        """Of asyncio: the other side has ended its direction, with which ours ends too."""
+        """Called by asyncio when the remote end has closed its direction; closes ours as well."""
         if not self.ended:
             self.close("ended")
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Of asyncio: the socket is closed."""
+        """Called by asyncio when the socket is closed."""
         self._stop_lingering()
         if error is None:
             self.close("ended")
@@ -123,9 +123,9 @@
             self.close("reset" if isinstance(error, ConnectionResetError) else "lost")
 
     def write(self, data: bytes) -> None:
-        """Sends bytes; closes the connection where too many wait for the other side to read them.
+        """Sends bytes; closes the connection if too many of them are unread.
 
-        One that does not read must not fill the memory.
+        A remote end that does not read must not use up the memory.
         """
         if self.transport is not None and not self.ended:
             self.transport.write(data)
@@ -135,25 +135,25 @@
             ):
                 self.close("unread")
 
-    def close(self, why: str, linger_ms: float = 0.0) -> None:
-        """Ends the connection for good; its peer is notified once.
+    def close(self, reason: str, linger_ms: float = 0.0) -> None:
+        """Ends the connection and notifies its `Peer` once.
 
-        For `linger_ms` the other side may still read what was written just now.
+        For `linger_ms` the remote end may still read what was written last.
         """
         if self.ended:
             return
         self.state = ConnectionState.CLOSED
         self.event_loop.cancel(self.deadline)
-        # Messages that are slices of the buffer may be in use right now.
+        # Deferred: a caller may be using messages that are slices of the buffer.
         self.event_loop.loop.call_soon(self.buffer.release)
         if not (linger_ms > 0 and self._start_lingering(linger_ms)):
             self._release_slot()
             self._abort()
-        self.event_loop.count(f"closed_{self.peer.name}_{why}")
-        self._call_peer(self.peer.closed, self, why)
+        self.event_loop.count(f"closed_{self.peer.name}_{reason}")
+        self._call_peer(self.peer.closed, self, reason)
 
     def reject(self) -> None:
-        """Has the connection end as soon as it is up, without notifying its peer."""
+        """Has the connection aborted once it is established, without notifying its `Peer`."""
         self.state = ConnectionState.CLOSED
 
     def _call_peer(self, method: Callable[..., Any], *arguments: Any) -> Any:
@@ -170,10 +170,10 @@
         return None
 
     def _start_lingering(self, wait_ms: float) -> bool:
-        """Ends our direction alone; returns whether it could.
+        """Closes only our direction; returns whether that succeeded.
 
-        With bytes of the other side unread a close is a reset, which overtakes what was written
-        last. Few connections linger at a time, or a flood would take all slots.
+        Closing a socket with unread input sends a reset, which may overtake the bytes written last.
+        Few connections linger at a time, so that a flood cannot occupy all slots.
         """
         event_loop = self.event_loop
         if (
@@ -184,7 +184,7 @@
         try:
             self.transport.write_eof()
         except (OSError, RuntimeError):
-            return False  # it is gone already
+            return False  # the socket is closed already
         self.state = ConnectionState.LINGERING
         event_loop.lingering_connections += 1
         self.deadline = event_loop.after(wait_ms, self._stop_lingering)
--- a/havendyke/net/deadlines.py
+++ b/havendyke/net/deadlines.py
@@ -1,33 +1,33 @@
-"""All deadlines of an event loop in one ordered queue."""
+"""Priority queue of an event loop's deadlines."""
 
 from collections.abc import Callable
 from heapq import heapify, heappop, heappush
 
-# Below so many cancelled deadlines a queue is not worth rebuilding.
+# Up to this many cancelled deadlines the queue is not rebuilt.
 MIN_CANCELLED_TO_COMPACT = 64
 
 
 class Deadline:
-    """A time and what is called then; `callback` is None once it has passed or is cancelled."""
+    """A time and its callback, which is None once the deadline has passed or is cancelled."""
 
     __slots__ = ("at_ms", "callback", "serial")
 
     def __init__(self, at_ms: float, serial: int, callback: Callable[[], None]) -> None:
-        """`serial` orders deadlines of the same time."""
+        """`serial` orders deadlines with equal times."""
         self.at_ms = at_ms
         self.serial = serial
         self.callback: Callable[[], None] | None = callback
 
     def __lt__(self, other: "Deadline") -> bool:
-        """Whether this one passes before the other."""
+        """Orders by time, then by serial number."""
         return (self.at_ms, self.serial) < (other.at_ms, other.serial)
 
 
 class DeadlineQueue:
-    """Deadlines by time; those of the same time in the order in which they were added."""
+    """Deadlines in order of time; deadlines with equal times are in order of insertion."""
 
     def __init__(self) -> None:
-        """A queue without deadlines."""
+        """Creates an empty queue."""
         self.heap: list[Deadline] = []
         self._serial = 0
         self._cancelled = 0
@@ -40,26 +40,26 @@
         return deadline
 
     def cancel(self, deadline: Deadline | None) -> None:
-        """Cancels a deadline; None, or one that has passed or is cancelled, stays as it is."""
+        """Cancels a deadline; has no effect on None or one that has passed or is cancelled."""
         if deadline is None or deadline.callback is None:
             return
         deadline.callback = None
         self._cancelled += 1
-        # Deadlines that are nearly always cancelled must not pile up.
+        # Timeouts are nearly always cancelled and must not accumulate.
         if self._cancelled > MIN_CANCELLED_TO_COMPACT and 2 * self._cancelled > len(self.heap):
             self.heap = [pending for pending in self.heap if pending.callback is not None]
             heapify(self.heap)
             self._cancelled = 0
 
     def next_at_ms(self) -> float | None:
-        """The time of the next deadline, None without one."""
+        """The time of the next deadline, or None if there is none."""
         while self.heap and self.heap[0].callback is None:
             heappop(self.heap)
             self._cancelled -= 1
         return self.heap[0].at_ms if self.heap else None
 
     def pop_due(self, now_ms: float) -> list[Callable[[], None]]:
-        """Removes the deadlines that are due and returns their callbacks in order."""
+        """Removes the due deadlines and returns their callbacks in order."""
         due = []
         while (at_ms := self.next_at_ms()) is not None and at_ms <= now_ms:
             deadline = heappop(self.heap)
--- a/havendyke/net/discovery.py
+++ b/havendyke/net/discovery.py
@@ -1,8 +1,8 @@
-"""Discovery: follows the endpoint list by watches, and checks that they miss nothing.
+"""Client of discovery: follows the endpoint list by watches and verifies that they miss nothing.
 
-The list is asked for once as a whole, then its changes come on watches. A silent watch is found by
-its missing empty lines, and watches that do not pass on what there is by checks: of the complete
-list while it is small, else of what changed since the version that is held.
+The complete list is requested once; watches then bring its changes. A dead watch is detected by the
+absence of its keep-alive lines. Watches that are alive but withhold updates are detected by checks:
+of the complete list while it is small, else of the changes since the known version.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from .timer import Timer
 from .wire_endpoint_list import ReceivedList
 
-# Checks by version that fail in a row before the complete list is asked for.
+# Consecutive failures of checks by version after which the complete list is requested.
 MAX_FAILED_VERSION_CHECKS = 2
-# The longest backoff after a list that could not be read, in waits of `limits.discovery_retry_ms`.
+# Longest backoff after a malformed list, as a multiple of `limits.discovery_retry_ms`.
 MAX_BACKOFF_FACTOR = 16
 DIGEST_SIZE = 16  # bytes
 
@@ -33,15 +33,15 @@
 
 
 class _WatchProgress:
-    """The versions that watches bring, beside the last that a check brought before them."""
+    """The newest version that watches brought, and the last that a check brought before them."""
 
     def __init__(self, version: int) -> None:
-        self.watched_version = version  # the highest since discovery's last restart
+        self.watched_version = version  # highest since the last restart of discovery
         self.checked_version = version
         self.logged_stale = False
 
     def note(self, version: int, by_watch: bool, restarted: bool) -> None:
-        """An update has come with this version, by a watch or otherwise."""
+        """Records the version of an update, which a watch or another query brought."""
         if restarted:
             self.watched_version = version
         elif by_watch and version > self.watched_version:
@@ -50,10 +50,10 @@
 
 
 class Discovery:
-    """Keeps the version of the endpoint list, and the queries that bring newer ones.
+    """Tracks the version of the endpoint list, and runs the queries that bring newer ones.
 
-    `notify` gets updates in order of version, each change once. Lower versions are left out unless
-    discovery has restarted; a complete list at the version that is held may be passed on again.
+    `notify` gets the updates in order of version, each change once. Lower versions are ignored
+    unless discovery has restarted; a complete list at the known version may be passed on again.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         version: int,
         seed: int = 0,
     ) -> None:
-        """`version`: of the list that the controller has; `seed`: of the pace of complete lists."""
+        """`version`: of the controller's list; `seed`: of the jitter between complete lists."""
         limits = event_loop.limits
         self.event_loop = event_loop
         self.version = version
@@ -77,27 +77,27 @@
         self.address = address
         self._messages = messages
         self._notify = notify
-        # Version and digest of the complete list that was taken last.
-        self._taken_list: tuple[int, bytes] | None = None
+        # Version and digest of the last complete list that was accepted.
+        self._last_list: tuple[int, bytes] | None = None
         self._watch_progress = _WatchProgress(version)
         self._backoff = Backoff(
             limits.discovery_retry_ms, MAX_BACKOFF_FACTOR * limits.discovery_retry_ms
         )
         self._request_timer = Timer(event_loop, self._request_list)
-        # One for all watches: with one each, every loss would open all that are missing, and the
-        # number of those that fail at once would double with each round.
+        # One timer for all watches: with a timer each, every loss would open all missing watches,
+        # and the number of attempts that fail at the same time would double with each round.
         self._watch_timer = Timer(event_loop, self.open_watches)
         self._settle_timer = Timer(event_loop, self._compare_with_watches)
 
     def start(self) -> None:
-        """Asks for the list, watches it, and checks it from now on."""
+        """Requests the list, opens the watches and starts the periodic checks."""
         self._reopen_queries()
         self.event_loop.after(self.event_loop.limits.discovery_check_interval_ms, self.check)
 
     def set_address(self, address: Address) -> None:
-        """Discovery is at another address now.
+        """Connects to discovery at a new address.
 
-        The queries at the old one end once a watch at the new one is answered.
+        The queries at the old address are closed once a watch at the new one is established.
         """
         self.address = address
         if self.version_check is not None:
@@ -105,16 +105,16 @@
         self._reopen_queries()
 
     def open_watches(self) -> None:
-        """Opens the watches that are missing."""
+        """Opens the missing watches."""
         missing = self.event_loop.limits.discovery_watch_count - len(self._watches())
         for _ in range(missing):
             if not self._open_query(follow=True):
                 return
 
     def check(self) -> None:
-        """Looks for what the watches do not bring, now and at an interval.
+        """Checks for updates that the watches did not bring, now and periodically.
 
-        A watch that brings empty lines alone looks like a list that does not change.
+        A watch that sends only keep-alive lines looks the same as a list that does not change.
         """
         if self.pace.due(self.event_loop.now()):
             self.check_complete_list()
@@ -125,82 +125,82 @@
     def check_complete_list(self) -> None:
         """Requests the complete list, unless a request is pending.
 
-        While a watch stands, a list of a lower version is a late one and shows no restart.
+        While a watch is established, a list with a lower version is late and reveals no restart.
         """
         if not self._list_requested():
             self._open_query(follow=False, may_reveal_restart=False)
 
-    # Of the queries
+    # Called by the queries
 
     def query_established(self, query: ListQuery) -> None:
-        """The first bytes of an answer's body have come; called once a query."""
+        """The body of a response has begun; called once per query."""
         self.event_loop.after(self.event_loop.limits.address_overlap_ms, self._close_moved_queries)
 
     def mark_reachable(self) -> None:
-        """Bytes of an answer's body have come, other than that of a check by version."""
+        """Bytes of the body of a response have come, except for a check by version."""
         if self.unreachable:
             self.unreachable = False
             self.event_loop.log("discovery_back")
 
-    def query_closed(self, query: ListQuery, why: str) -> None:
-        """A query has ended; opens another one where it is needed."""
+    def query_closed(self, query: ListQuery, reason: str) -> None:
+        """A query has ended; opens another one if needed."""
         self.queries.remove(query)
-        if why != "done" and not self.unreachable and query.address == self.address:
+        if reason != "done" and not self.unreachable and query.address == self.address:
             self.unreachable = True
-            self.event_loop.log("discovery_lost", why=why, follow=query.follow)
+            self.event_loop.log("discovery_lost", why=reason, follow=query.follow)
         if query.follow:
-            self._watch_closed(query, why)
-        elif why not in ("done", "moved"):
+            self._watch_closed(query, reason)
+        elif reason not in ("done", "moved"):
             self._request_list_after(self.event_loop.limits.discovery_retry_ms)
 
-    def version_check_closed(self, why: str) -> None:
-        """A check by version has ended; several failures in a row cost a complete list.
+    def version_check_closed(self, reason: str) -> None:
+        """A check by version has ended; consecutive failures cause a request for the complete list.
 
-        A single failure changes nothing, since the watches stand.
+        A single failure has no effect, since the watches are independent of it.
         """
         self.version_check = None
-        if why == "moved":
+        if reason == "moved":
             return
-        self.failed_checks = 0 if why == "done" else self.failed_checks + 1
+        self.failed_checks = 0 if reason == "done" else self.failed_checks + 1
         if self.failed_checks >= MAX_FAILED_VERSION_CHECKS:
             self.failed_checks = 0
             self.check_complete_list()
 
-    def take_complete_list(self, query: ListQuery, body: memoryview) -> None:
-        """Takes the answer to a query for the complete list.
+    def handle_complete_list(self, query: ListQuery, body: memoryview) -> None:
+        """Handles the response to a query for the complete list.
 
-        Raises `FieldError` where it is malformed. The same bytes at the version that is held cost
-        no reconciliation.
+        Raises `FieldError` if it is malformed. Unchanged bytes at the known version cause no
+        reconciliation.
         """
         if not body:
-            raise FieldError("a list without a word")
+            raise FieldError("the list is empty")
         digest = blake2b(body, digest_size=DIGEST_SIZE).digest()
-        if self._taken_list == (self.version, digest):
+        if self._last_list == (self.version, digest):
             self.event_loop.count("list_unchanged")
             self.pace.record_list(len(body), self.event_loop.now())
             return
         update = parse_object(body)
-        readable = self.take_update(query, update)
-        # An older list that was left may be the truth once no watch stands.
+        all_valid = self.handle_update(query, update)
+        # A list with a lower version that was ignored may be the current one once no watch is left.
         if update["rev"] == self.version:
-            self._taken_list = (self.version, digest)
+            self._last_list = (self.version, digest)
             self.pace.record_list(len(body), self.event_loop.now())
-            if not readable:
+            if not all_valid:
                 self.pace.expire()
 
-    def take_update(self, query: ListQuery, update: dict[str, Any]) -> bool:
-        """Takes a complete list or changes, unless they are known; raises `FieldError`.
+    def handle_update(self, query: ListQuery, update: dict[str, Any]) -> bool:
+        """Handles a complete list or changes, unless they are known; raises `FieldError`.
 
-        Returns whether all its entries could be read.
+        Returns whether all of its entries are valid.
         """
-        received, readable = self._read_update(update)
+        received, all_valid = self._decode_update(update)
         event, version = received.event, received.version
         restarted = self._reveals_restart(query, event, version)
         query.may_reveal_restart = False
         is_check = isinstance(query, VersionCheck)
         by_watch = query.follow and not is_check
         self._watch_progress.note(version, by_watch, restarted)
-        # Each watch brings every update; what a faster one has brought is left out here.
+        # Each watch brings every update; those that a faster one has brought are ignored.
         same_version = not query.follow and version == self.version
         if version > self.version or restarted or same_version:
             self._apply(query, received)
@@ -209,29 +209,29 @@
                 self._settle_timer.start(self.event_loop.limits.discovery_settle_ms)
         else:
             self.event_loop.count("list_already_known")
-        return readable
+        return all_valid
 
-    def _read_update(self, update: dict[str, Any]) -> tuple[ReceivedList, bool]:
-        """The update, and whether all its entries could be read."""
+    def _decode_update(self, update: dict[str, Any]) -> tuple[ReceivedList, bool]:
+        """The update, and whether all of its entries are valid."""
         bad_entries: list[FieldError] = []
         received = self._messages.endpoint_list.decode(update, on_invalid_entry=bad_entries.append)
         for error in bad_entries:
             self.event_loop.count("bad_entries")
             self.event_loop.log("bad_entry", field=str(error)[:MAX_LOGGED_FIELD_CHARS])
         if bad_entries:
-            # The complete list repeats what the entry would have said, such as a drain.
+            # The complete list repeats what the invalid entry states, such as a drain.
             self._request_list_after(self._backoff.next())
         elif received.event.scope == ListScope.COMPLETE:
             self._backoff.reset()
         return received, not bad_entries
 
-    # Queries that are open, and opening them
+    # Open queries
 
     def _watches(self) -> list[ListQuery]:
         return [q for q in self.queries if q.follow and q.address == self.address]
 
     def _pending_list_queries(self) -> list[ListQuery]:
-        """The queries for the complete list that have no answer yet."""
+        """The queries for the complete list that are not answered yet."""
         return [
             q for q in self.queries if q.address == self.address and not q.follow and not q.answered
         ]
@@ -240,12 +240,12 @@
         """Whether the complete list is requested, or will be after a delay."""
         return self._request_timer.running or bool(self._pending_list_queries())
 
-    def _watched(self) -> bool:
-        """Whether a watch stands."""
+    def _has_established_watch(self) -> bool:
+        """Whether a watch at the present address is established."""
         return any(watch.established for watch in self._watches())
 
     def _open_query(self, follow: bool, may_reveal_restart: bool = True) -> bool:
-        """Returns whether there was a slot for it."""
+        """Returns whether a slot was free."""
         query = ListQuery(self, follow, may_reveal_restart)
         if query.connection is None:
             self._open_watches_after(self.event_loop.limits.discovery_retry_ms)
@@ -258,7 +258,7 @@
         self.open_watches()
 
     def _close_moved_queries(self) -> None:
-        if self._watched():
+        if self._has_established_watch():
             for query in [q for q in self.queries if q.address != self.address]:
                 query.close("moved")
 
@@ -267,9 +267,9 @@
             self._watch_timer.start(delay_ms)
 
     def _request_list_after(self, delay_ms: float) -> None:
-        """Requests the complete list once, whatever the number of reasons."""
+        """Requests the complete list once, however many reasons there are."""
         for query in self._pending_list_queries():
-            # A query that a loss has overtaken may show a restart after all.
+            # Discovery may have restarted since the query began, so its list may reveal that.
             query.may_reveal_restart = True
         if not self._list_requested():
             self._request_timer.start(delay_ms)
@@ -278,15 +278,16 @@
         if not self._open_query(follow=False):
             self._request_list_after(self.event_loop.limits.discovery_retry_ms)
 
-    def _watch_closed(self, watch: ListQuery, why: str) -> None:
+    def _watch_closed(self, watch: ListQuery, reason: str) -> None:
         delay_ms = self.event_loop.limits.discovery_retry_ms
-        if why != "moved" and not self._watched():
-            # Discovery itself may have restarted. At the same version with another list, it would
-            # send a watch nothing.
+        if reason != "moved" and not self._has_established_watch():
+            # Discovery may have restarted. With a different list at the same version it would send
+            # nothing on a watch.
             self._request_list_after(delay_ms)
-        # A silent one has waited long enough, and one that brought an update may have more. Without
-        # a delay, a discovery that ends each watch at once would be polled without end.
-        at_once = why == "silent" or (why == "done" and watch.brought_new_version)
+        # No delay after a silent watch, whose timeout was long enough, or after one that brought an
+        # update, as more may follow. Any other watch that discovery ends at once is reopened with a
+        # delay, or discovery would be polled without pause.
+        at_once = reason == "silent" or (reason == "done" and watch.brought_new_version)
         self._open_watches_after(0.0 if at_once else delay_ms)
 
     # Versions
@@ -313,16 +314,16 @@
 
     @staticmethod
     def _reveals_restart(query: ListQuery, event: EndpointListUpdate, version: int) -> bool:
-        """Whether the version went back because discovery has restarted."""
+        """Whether the version is lower because discovery has restarted."""
         complete = event.scope == ListScope.COMPLETE
         return query.may_reveal_restart and complete and version < query.since
 
     def _compare_with_watches(self) -> None:
-        """A check brought a version before any watch; one that works brings it within a moment."""
+        """Requests the complete list if no watch has brought the version that a check brought."""
         progress = self._watch_progress
         version = progress.checked_version
         superseded = progress.watched_version >= version or self.version < version
-        if superseded or not self._watched():
+        if superseded or not self._has_established_watch():
             return
         self.event_loop.count("watches_stale")
         if not progress.logged_stale:
--- a/havendyke/net/event_loop.py
+++ b/havendyke/net/event_loop.py
@@ -1,6 +1,6 @@
-"""The adapter to asyncio's event loop: the clock, deadlines, connections, the log and counters.
+"""Adapter to asyncio's event loop: clock, deadlines, connections, log and counters.
 
-State machines use nothing of asyncio but what `EventLoop` offers.
+The protocols' state machines use asyncio only through `EventLoop`.
 """
 
 import asyncio
@@ -17,19 +17,19 @@
 
 Address = tuple[str, int]
 
-# The loop's timers may fire this much before their time.
+# asyncio's timers may fire early by this much.
 TIMER_TOLERANCE_MS = 0.2
 MAX_LOGGED_CAUSE_CHARS = 300
 
 
 class EventLoop:
-    """One assigner's event loop; made while asyncio's loop runs.
+    """The event loop of one assigner; created while asyncio's loop runs.
 
-    Owns all connections, deadlines and counters. Times are ms of the machine's monotonic clock.
+    Owns all connections, deadlines and counters. Times are milliseconds of the monotonic clock.
     """
 
     def __init__(self, limits: Limits, log: EventLog) -> None:
-        """Uses the running asyncio loop, whose unhandled errors go to the log from now on."""
+        """Attaches to the running asyncio loop and logs its unhandled errors."""
         self.limits = limits
         self.log = log
         self.counters: dict[str, float] = {}
@@ -48,12 +48,12 @@
 
     @staticmethod
     def now() -> float:
-        """The monotonic clock (ms)."""
+        """The monotonic clock in milliseconds."""
         return time.monotonic() * 1000
 
     @staticmethod
     def wall_offset_ms() -> float:
-        """What to add to Unix milliseconds to get the monotonic clock's."""
+        """The offset that converts Unix milliseconds to the monotonic clock."""
         return time.monotonic() * 1000 - time.time() * 1000
 
     def count(self, name: str, amount: int = 1) -> None:
@@ -61,26 +61,26 @@
         self.counters[name] = self.counters.get(name, 0) + amount
 
     def log_failure(self, peer: str, error: Exception) -> None:
-        """Counts and logs a defect of the program; `peer` names where it was met."""
+        """Counts and logs a defect of this program; `peer` names where it occurred."""
         self.count("failures")
         self.log("failure", peer=peer, cause=f"{type(error).__name__}: {error}")
 
     def soon(self, callback: Callable[[], None]) -> None:
-        """Calls back after what is ready now has run."""
+        """Schedules the callback after those that are already scheduled."""
         self.loop.call_soon(callback)
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> Deadline:
-        """Calls back after the delay, unless the deadline is dropped before."""
+        """Calls back after the delay, unless the returned deadline is cancelled before."""
         deadline = self.deadlines.add(self.now() + delay_ms, callback)
         self.arm()
         return deadline
 
     def cancel(self, deadline: Deadline | None) -> None:
-        """Cancels a deadline; one that is None, has passed or is cancelled stays so."""
+        """Cancels a deadline; has no effect on None or a deadline that has passed."""
         self.deadlines.cancel(deadline)
 
     def arm(self) -> None:
-        """Has asyncio's loop call at the next deadline."""
+        """Schedules a timer of asyncio's loop for the next deadline."""
         next_at_ms = self.deadlines.next_at_ms()
         if next_at_ms is None or (self._timer is not None and self._timer_at_ms <= next_at_ms):
             return
@@ -92,9 +92,9 @@
     def connect(
         self, address: Address, peer: Peer, timeout_ms: float | None = None
     ) -> Connection | None:
-        """Begins to connect; None where no slot is free.
+        """Starts to connect; returns None if no slot is free.
 
-        `peer` is notified once the connection is up, or has failed.
+        `peer` is notified once the connection is established or has failed.
         """
         connection = self.new_connection(peer, timeout_ms)
         if connection is not None:
@@ -105,7 +105,7 @@
         return connection
 
     def new_connection(self, peer: Peer, timeout_ms: float | None = None) -> Connection | None:
-        """A connection with a slot, closed unless it is up in time; None where no slot is free."""
+        """Creates a connection that must be established in time; None if no slot is free."""
         connection = Connection(self, peer)
         if not self._assign_slot(connection):
             return None
@@ -115,7 +115,7 @@
         return connection
 
     def accept(self, peer: Peer) -> Connection:
-        """The connection of a client that has connected; closed already where no slot is free."""
+        """Creates the connection of a new client, rejected already if no slot is free."""
         connection = Connection(self, peer, self.limits.initial_client_buffer_bytes)
         if self._assign_slot(connection):
             self.count("accepted")
@@ -139,8 +139,8 @@
 
     def _run_deadlines(self) -> None:
         self._timer = None
-        # After a standstill of this process the bytes that came meanwhile are read first: the
-        # silence was its own, not that of its peers.
+        # After a stall of this process, bytes that arrived meanwhile are read before any deadline
+        # expires: the process was silent, not its peers.
         late_ms = self.now() - self._timer_at_ms
         self._catching_up = not self._catching_up and late_ms > self.limits.stall_threshold_ms
         if self._catching_up:
--- a/havendyke/net/health_checks.py
+++ b/havendyke/net/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: asks servers for their health over HTTP, one connection a check."""
+"""Health checks of servers over HTTP, each on a connection of its own."""
 
 from __future__ import annotations
 
@@ -22,24 +22,25 @@
     STATUS_OK: HealthCheckOutcome.PASSED,
     STATUS_SERVICE_UNAVAILABLE: HealthCheckOutcome.SATURATED,
 }
-# Of an incomplete response, by why its connection ended; any other reason is a reset.
-OUTCOME_BY_CLOSE = {
+# Outcome of an incomplete response by the reason for which its connection was closed; any other
+# reason counts as a reset.
+OUTCOME_BY_CLOSE_REASON = {
     "overdue": HealthCheckOutcome.TIMED_OUT,
     "bad": HealthCheckOutcome.ERROR,
 }
 
 
 class HealthCheck:
-    """One check of one server, from its start to its outcome."""
+    """One health check of one server."""
 
     name = "health_checks"
 
     def __init__(self, checker: HealthChecker, server: Server, address: Address) -> None:
-        """Connects; `connection` is None where no slot is free."""
+        """Connects; `connection` is None if no slot is free."""
         self.server = server
         event_loop = checker.event_loop
         self.started_ms = event_loop.now()
-        # Names the server's incarnation: a restart since then makes the outcome void.
+        # A restart of the server during the check invalidates the outcome.
         self.incarnation = checker.incarnation(server)
         self._checker = checker
         self._event_loop = event_loop
@@ -59,7 +60,7 @@
         connection.write(get_request(self._checker.path, self._address, "Connection: close\r\n"))
 
     def received(self, connection: Connection) -> None:
-        """Takes what the response has so far; raises `MessageTooLongError`."""
+        """Handles the received part of the response; raises `MessageTooLongError`."""
         assert self._response is not None
         while (part := self._response.next()) is not None:
             self._body += bytes(part)
@@ -68,27 +69,27 @@
         if self._response.done:
             connection.close("answered")
 
-    def closed(self, connection: Connection, why: str) -> None:
+    def closed(self, connection: Connection, reason: str) -> None:
         """Reports the outcome to the checker."""
         self._timeout.cancel()
-        outcome = self._outcome(why)
+        outcome = self._outcome(reason)
         load = ServerLoad()
         if outcome is HealthCheckOutcome.PASSED and self._body:
             load = self._read_load()
-        self._checker.finished(self, outcome, load, why)
+        self._checker.finished(self, outcome, load, reason)
 
-    def _outcome(self, why: str) -> HealthCheckOutcome:
+    def _outcome(self, reason: str) -> HealthCheckOutcome:
         response = self._response
         if response is None:
-            # There was no connection: the server is down, or out of reach.
-            reset = why == "reset"
+            # No connection was established: the server is down or unreachable.
+            reset = reason == "reset"
             return HealthCheckOutcome.RESET if reset else HealthCheckOutcome.REFUSED
-        if response.done or (response.ends_with_connection and why == "ended"):
+        if response.done or (response.ends_with_connection and reason == "ended"):
             return OUTCOME_BY_STATUS.get(response.status, HealthCheckOutcome.ERROR)
-        return OUTCOME_BY_CLOSE.get(why, HealthCheckOutcome.RESET)
+        return OUTCOME_BY_CLOSE_REASON.get(reason, HealthCheckOutcome.RESET)
 
     def _read_load(self) -> ServerLoad:
-        """The server's load report; empty where it is malformed, which costs no more."""
+        """The server's load report; empty if it is malformed, as the check has passed anyway."""
         try:
             return parse_server_load(
                 decode_text(self._body), self._event_loop.limits.max_reported_value
@@ -105,10 +106,10 @@
 
 
 class HealthChecker:
-    """Runs the checks that the controller orders, a limited number at a time.
+    """Runs the checks that the controller orders, with limited concurrency.
 
-    Checks beyond that wait: left out, one would stay unanswered until the controller orders the
-    next of its server.
+    Further checks are queued. A skipped check would stay without a result until the controller
+    orders the next one of its server.
     """
 
     def __init__(
@@ -118,7 +119,7 @@
         notify: Callable[[HealthCheckResult], None],
         path: str,
     ) -> None:
-        """`path` of the HTTP request; `notify` gets the result of each check."""
+        """`path`: of the HTTP request; `notify` is called with the result of each check."""
         self.event_loop = event_loop
         self.path = path
         self.in_flight = 0
@@ -128,7 +129,7 @@
         self.last_outcomes: dict[Server, HealthCheckOutcome] = {}
 
     def check(self, server: Server) -> None:
-        """Checks a server, now or once there is capacity."""
+        """Checks a server, now or when a running check has ended."""
         address = self._address(server)
         limits = self.event_loop.limits
         if address is None:
@@ -146,26 +147,26 @@
             self.queue.append(server)
 
     def forget(self, servers: Iterable[Server]) -> None:
-        """Forgets servers that have left for good."""
+        """Drops the state of servers that have left for good."""
         for server in servers:
             self.last_outcomes.pop(server, None)
             if server in self.queue:
                 self.queue.remove(server)
 
     def incarnation(self, server: Server) -> object:
-        """What tells a server's start from its next; None for a server that has left for good."""
+        """The incarnation of a server; None if it has left for good."""
         return self._messages.endpoint_list.start_times.get(server)
 
     def finished(
-        self, check: HealthCheck, outcome: HealthCheckOutcome, load: ServerLoad, why: str
+        self, check: HealthCheck, outcome: HealthCheckOutcome, load: ServerLoad, reason: str
     ) -> None:
-        """A check has ended; `why` its connection did."""
+        """Reports the result of a check; `reason`: why its connection was closed."""
         self.in_flight -= 1
         self.event_loop.count(f"health_checks_{outcome.value}")
         self._start_queued()
         server = check.server
         if server not in self._messages.endpoint_list.start_times:
-            return  # it has left for good meanwhile
+            return  # the server has left for good meanwhile
         if check.incarnation != self.incarnation(server):
             outcome, load = HealthCheckOutcome.SUPERSEDED, ServerLoad()
         latency_ms = self.event_loop.now() - check.started_ms
@@ -174,19 +175,19 @@
                 "health_check",
                 server=server.id,
                 outcome=outcome.value,
-                why=why,
+                why=reason,
                 ms=round(latency_ms, 1),
             )
         self.last_outcomes[server] = outcome
         self._notify(HealthCheckResult(server, outcome, latency_ms, load))
 
     def _address(self, server: Server) -> Address | None:
-        """The server's address, None where it cannot be used."""
+        """The server's address, or None if it is unusable."""
         try:
             address: Address = parse_address(
                 self._messages.endpoint_list.endpoints.get(server, ""), "endpoint"
             )
-            ip_address(address[0])  # there is nothing that resolves names
+            ip_address(address[0])  # host names are not resolved
         except ValueError:
             return None
         return address
@@ -194,7 +195,7 @@
     def _start(self, server: Server, address: Address) -> None:
         self.in_flight += 1
         if HealthCheck(self, server, address).connection is None:
-            # The controller orders another one once it has waited for this for long enough.
+            # The controller orders another check when this one has timed out.
             self.in_flight -= 1
             self.event_loop.count("health_checks_skipped")
 
--- a/havendyke/net/http.py
+++ b/havendyke/net/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 requests and responses as bytes; touches no socket.
+"""HTTP/1.1 requests and responses, independent of sockets.
 
-Responses are read as RFC 9112 has them: sized, in chunks, or up to the connection's end. What the
-RFC leaves to the receiver is refused where two readers could take it differently.
+Responses are parsed as in RFC 9112: with Content-Length, chunked, or up to the connection's end.
+What the RFC leaves to the recipient is rejected if two parsers could interpret it differently.
 """
 
 import re
@@ -14,7 +14,8 @@
 CONTENT_LENGTH = re.compile(rb"[0-9]{1,15}")
 CHUNK_SIZE = re.compile(rb"[0-9a-fA-F]{1,12}")
 
-# Of all heads and the trailer of one response: interim heads and trailers could go on for good.
+# Of all heads and the trailer of one response together: the number of interim responses and trailer
+# fields has no limit of its own.
 MAX_HEADER_LINES = 100
 MAX_QUOTED_BYTES = 60
 MAX_ERROR_CHARS = 100
@@ -26,7 +27,7 @@
 
 
 class ResponseState(Enum):
-    """What a response's next bytes are."""
+    """The element of a response that comes next."""
 
     STATUS_LINE = "status line"
     HEADERS = "headers"
@@ -44,32 +45,31 @@
 
 
 def get_request(path: str, host: tuple[str, int], headers: str = "") -> bytes:
-    """A GET request; `headers` are complete lines."""
+    """Encodes a GET request; `headers` are complete lines."""
     return f"GET {path} HTTP/1.1\r\nHost: {host[0]}:{host[1]}\r\n{headers}\r\n".encode()
 
 
 class ResponseParser:
-    """Reads one response from a buffer, however its bytes are cut.
+    """Incremental parser of one response.
 
-    Raises `FieldError` where the response is malformed, `MessageTooLongError` where its head is
-    too long.
+    Raises `FieldError` if the response is malformed, `MessageTooLongError` if its head is too long.
     """
 
     def __init__(self, buffer: Buffer, max_line_size: int) -> None:
-        """`max_line_size`: bytes of one line of the head."""
+        """`max_line_size`: bytes of a line of the head."""
         self.state = ResponseState.STATUS_LINE
         self.status = 0
         self._buffer = buffer
         self._max_line_size = max_line_size
-        self._body_left = 0
-        self._searched = 0  # bytes of the buffer that are known to hold no line's end
+        self._body_bytes_left = 0
+        self._searched_bytes = 0  # bytes that were already searched for a line end
         self._header_lines = 0
         self._headers: dict[bytes, list[bytes]] = {}
         self._last_header: bytes | None = None
 
     @property
     def head_complete(self) -> bool:
-        """Whether the status is the response's own, after interim ones."""
+        """Whether `status` is the final one and the whole head was parsed."""
         return self.state not in HEAD_STATES
 
     @property
@@ -79,13 +79,13 @@
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether the body goes on up to the connection's end."""
+        """Whether the body ends with the connection."""
         return self.state is ResponseState.BODY_TO_END
 
     def next(self) -> memoryview | None:
-        """More of the body, as a slice that holds until the buffer is read into.
+        """The next part of the body, as a slice that is valid until the buffer receives more.
 
-        None: the response is complete, or more must come.
+        None if the response is complete or more bytes are needed.
         """
         while not self.done:
             if self.state in BODY_STATES:
@@ -93,111 +93,113 @@
             line = self._next_line()
             if line is None:
                 return None
-            self._take_line(line)
+            self._parse_line(line)
         return None
 
     def _body_part(self) -> memoryview | None:
         start = self._buffer.start
         size = self._buffer.end - start
         if self.state is not ResponseState.BODY_TO_END:
-            size = min(size, self._body_left)
+            size = min(size, self._body_bytes_left)
         if not size:
             return None
         self._buffer.start += size
         if self.state is not ResponseState.BODY_TO_END:
-            self._body_left -= size
-            if not self._body_left:
+            self._body_bytes_left -= size
+            if not self._body_bytes_left:
                 sized = self.state is ResponseState.SIZED_BODY
                 self.state = ResponseState.DONE if sized else ResponseState.CHUNK_END
         return memoryview(self._buffer.data)[start : start + size]
 
     def _next_line(self) -> bytes | None:
         data, start = self._buffer.data, self._buffer.start
-        stop = data.find(b"\n", start + self._searched, self._buffer.end)
-        if (self._buffer.end if stop < 0 else stop) - start > self._max_line_size:
-            raise MessageTooLongError(f"a line of the head is over {self._max_line_size} bytes")
-        if stop < 0:
-            self._searched = self._buffer.end - start
+        line_end = data.find(b"\n", start + self._searched_bytes, self._buffer.end)
+        if (self._buffer.end if line_end < 0 else line_end) - start > self._max_line_size:
+            raise MessageTooLongError(f"a header line is longer than {self._max_line_size} bytes")
+        if line_end < 0:
+            self._searched_bytes = self._buffer.end - start
             return None
-        self._searched = 0
-        self._buffer.start = stop + 1
-        return bytes(data[start:stop]).rstrip(b"\r")
+        self._searched_bytes = 0
+        self._buffer.start = line_end + 1
+        return bytes(data[start:line_end]).rstrip(b"\r")
 
-    def _take_line(self, line: bytes) -> None:
+    def _parse_line(self, line: bytes) -> None:
         match self.state:
             case ResponseState.STATUS_LINE:
-                self._take_status_line(line)
+                self._parse_status_line(line)
             case ResponseState.HEADERS:
-                self._take_head_line(line)
+                self._parse_head_line(line)
             case ResponseState.CHUNK_SIZE:
-                self._take_chunk_size(line)
+                self._parse_chunk_size(line)
             case ResponseState.CHUNK_END:
                 if line:
-                    raise FieldError("a chunk does not end where its size says")
+                    raise FieldError("a chunk does not end after its size")
                 self.state = ResponseState.CHUNK_SIZE
             case ResponseState.TRAILER if line:
                 self._count_header_line()
             case ResponseState.TRAILER:
                 self.state = ResponseState.DONE
 
-    def _take_status_line(self, line: bytes) -> None:
-        found = STATUS_LINE.fullmatch(line)
-        if found is None:
-            raise FieldError(f"status line {line[:MAX_QUOTED_BYTES]!r}")
-        self.status = int(found[1])
+    def _parse_status_line(self, line: bytes) -> None:
+        matched = STATUS_LINE.fullmatch(line)
+        if matched is None:
+            raise FieldError(f"invalid status line {line[:MAX_QUOTED_BYTES]!r}")
+        self.status = int(matched[1])
         self.state = ResponseState.HEADERS
         self._headers = {}
         self._last_header = None
 
-    def _take_head_line(self, line: bytes) -> None:
+    def _parse_head_line(self, line: bytes) -> None:
         if line:
             self._count_header_line()
-            self._take_header(line)
+            self._parse_header(line)
         elif self.status < STATUS_OK:
-            # An interim response: the next head follows.
+            # Another head follows an interim response.
             self._count_header_line()
             self.state = ResponseState.STATUS_LINE
         else:
             self._choose_framing()
 
-    def _take_header(self, line: bytes) -> None:
+    def _parse_header(self, line: bytes) -> None:
         if line[:1] in b" \t":
-            # An obsolete way to continue a header; by itself it would pass for another one.
+            # Obsolete line folding: taken by itself, the line could pass for another header.
             if self._last_header is None:
-                raise FieldError(f"head line {line[:MAX_QUOTED_BYTES]!r}")
+                raise FieldError(f"invalid header line {line[:MAX_QUOTED_BYTES]!r}")
             self._headers[self._last_header][-1] += b" " + line.strip()
             return
         name, colon, value = line.partition(b":")
         if not colon:
-            raise FieldError(f"head line {line[:MAX_QUOTED_BYTES]!r}")
+            raise FieldError(f"invalid header line {line[:MAX_QUOTED_BYTES]!r}")
         self._last_header = name.strip().lower()
         self._headers.setdefault(self._last_header, []).append(value.strip())
 
     def _count_header_line(self) -> None:
         self._header_lines += 1
         if self._header_lines > MAX_HEADER_LINES:
-            raise MessageTooLongError(f"over {MAX_HEADER_LINES} head lines")
+            raise MessageTooLongError(f"more than {MAX_HEADER_LINES} header lines")
 
     def _choose_framing(self) -> None:
-        """How the body ends; where two headers contradict each other, neither is believed."""
+        """Determines how the body ends; contradictory headers are an error."""
         codings = {value.lower() for value in self._headers.get(b"transfer-encoding", ())}
         lengths = set(self._headers.get(b"content-length", ()))
         if codings:
             if codings != {b"chunked"}:
-                raise FieldError(f"transfer-encoding {sorted(codings)!r}"[:MAX_ERROR_CHARS])
+                raise FieldError(
+                    f"unsupported transfer-encoding {sorted(codings)!r}"[:MAX_ERROR_CHARS]
+                )
             self.state = ResponseState.CHUNK_SIZE
         elif lengths or self.status in (STATUS_NO_CONTENT, STATUS_NOT_MODIFIED):
             lengths = lengths or {b"0"}
             if len(lengths) > 1 or not CONTENT_LENGTH.fullmatch(min(lengths)):
-                raise FieldError(f"content-length {sorted(lengths)!r}"[:MAX_ERROR_CHARS])
-            self._body_left = int(min(lengths))
-            self.state = ResponseState.SIZED_BODY if self._body_left else ResponseState.DONE
+                raise FieldError(f"invalid content-length {sorted(lengths)!r}"[:MAX_ERROR_CHARS])
+            self._body_bytes_left = int(min(lengths))
+            self.state = ResponseState.SIZED_BODY if self._body_bytes_left else ResponseState.DONE
         else:
             self.state = ResponseState.BODY_TO_END
 
-    def _take_chunk_size(self, line: bytes) -> None:
+    def _parse_chunk_size(self, line: bytes) -> None:
         size = line.partition(b";")[0].strip()
         if not CHUNK_SIZE.fullmatch(size):
-            raise FieldError(f"a chunk's size is {line[:20]!r}")
-        self._body_left = int(size, 16)
-        self.state = ResponseState.CHUNK_DATA if self._body_left else ResponseState.TRAILER
+            raise FieldError(f"invalid chunk size {line[:20]!r}")
+        self._body_bytes_left = int(size, 16)
+        self.state = ResponseState.CHUNK_DATA if self._body_bytes_left else ResponseState.TRAILER
--- a/havendyke/net/json_lines.py
+++ b/havendyke/net/json_lines.py
@@ -1,4 +1,4 @@
-"""Parser of newline-delimited JSON: cuts lines from a buffer without copying; touches no socket."""
+"""Incremental, zero-copy parser of newline-delimited JSON, independent of sockets."""
 
 from typing import Any
 
@@ -11,39 +11,39 @@
 
 
 class LineParser:
-    """Cuts the lines of one connection; the end of a line may be LF or CRLF."""
+    """Splits the bytes of one connection into lines, which end with LF or CRLF."""
 
     def __init__(self, buffer: Buffer, max_line_bytes: int) -> None:
-        """Begins with what the buffer holds."""
+        """Starts at the beginning of the buffer."""
         self.buffer = buffer
         self.max_line_bytes = max_line_bytes
-        # Bytes of the unfinished line that were searched for its end already.
-        self._scanned = 0
+        # Bytes of the incomplete line that were already searched for its end.
+        self._searched_bytes = 0
 
     def next(self) -> memoryview | None:
-        """The next line without its end, or None where none is complete.
+        """The next line without its line end, or None if none is complete.
 
-        The view holds until the buffer is read into. Raises `MessageTooLongError`.
+        The view is valid until the buffer receives more. Raises `MessageTooLongError`.
         """
         data, start = self.buffer.data, self.buffer.start
-        stop = data.find(b"\n", start + self._scanned, self.buffer.end)
-        size = (self.buffer.end if stop < 0 else stop) - start
+        line_end = data.find(b"\n", start + self._searched_bytes, self.buffer.end)
+        size = (self.buffer.end if line_end < 0 else line_end) - start
         if size > self.max_line_bytes:
-            raise MessageTooLongError(f"a line is over {self.max_line_bytes} bytes")
-        if stop < 0:
-            self._scanned = size
+            raise MessageTooLongError(f"a line is longer than {self.max_line_bytes} bytes")
+        if line_end < 0:
+            self._searched_bytes = size
             return None
-        self._scanned, self.buffer.start = 0, stop + 1
-        has_carriage_return = stop > start and data[stop - 1] == CARRIAGE_RETURN
-        return memoryview(data)[start : stop - 1 if has_carriage_return else stop]
+        self._searched_bytes, self.buffer.start = 0, line_end + 1
+        has_carriage_return = line_end > start and data[line_end - 1] == CARRIAGE_RETURN
+        return memoryview(data)[start : line_end - 1 if has_carriage_return else line_end]
 
     def has_partial_line(self) -> bool:
-        """Whether a line has begun and not ended."""
+        """Whether the buffer holds an incomplete line."""
         return self.buffer.end > self.buffer.start
 
 
 def parse_object(line: memoryview) -> dict[str, Any]:
-    """The line's JSON object; raises `FieldError` where it is anything else."""
+    """Parses a JSON object; raises `FieldError` for anything else."""
     try:
         parsed = orjson.loads(line)
     except orjson.JSONDecodeError as error:
--- a/havendyke/net/list_pace.py
+++ b/havendyke/net/list_pace.py
@@ -1,28 +1,29 @@
-"""How often the complete endpoint list may be asked for, by its size.
+"""Rate of requests for the complete endpoint list.
 
-At each check while the byte budget allows it, else at a slow pace.
+The list is requested at each check while its size fits the byte budget, else at a low rate.
 """
 
 from hashlib import blake2b
 
 from ..config import Limits
 
-# The share of the byte budget for lists that are too large to be asked for at each check.
+# Share of the byte budget for lists that are too large to be requested at each check.
 COMPLETE_LIST_BUDGET_SHARE = 0.1
-# A period is longer by up to this share, drawn, so that assigners do not all ask at a time.
+# Periods are extended by up to this share at random, so that assigners do not request the list in
+# step.
 JITTER = 0.5
-DRAW_BYTES = 8  # of a digest, read as one random number
+DRAW_BYTES = 8  # of a digest, taken as one random number
 MS_PER_SECOND = 1000.0
 
 
 class CompleteListPace:
-    """Decides whether a check asks for the complete list.
+    """Decides whether a check requests the complete list.
 
-    Until a complete list was taken, each check does. Times are ms.
+    Each check does so until a complete list was received.
     """
 
     def __init__(self, limits: Limits, seed: int) -> None:
-        """Two with the same seed draw the same periods."""
+        """Equal seeds give equal periods."""
         self.seed = seed
         self.size = 0
         self.due_at_ms = 0.0
@@ -30,30 +31,30 @@
         self._draws = 0
 
     def record_list(self, size: int, now_ms: float) -> None:
-        """A complete list of `size` bytes was taken."""
+        """Records that a complete list of `size` bytes was received."""
         self.size = size
         self.due_at_ms = now_ms + self.period_ms() * (1.0 + JITTER * self._draw())
 
     def expire(self) -> None:
-        """Has the next check ask for the complete list, whatever its size."""
+        """Makes the next check request the complete list, whatever its size."""
         self.due_at_ms = 0.0
 
     def period_ms(self) -> float:
-        """The least time between lists of the present size where not each check may ask."""
+        """The shortest time between lists of the last size if not each check requests one."""
         budget = COMPLETE_LIST_BUDGET_SHARE * self._limits.discovery_bytes_per_s
         return MS_PER_SECOND * self.size / budget
 
     def affordable(self) -> bool:
-        """Whether a complete list at each check stays within the budget."""
+        """Whether a complete list at each check fits the budget."""
         budget = self._limits.discovery_bytes_per_s * self._limits.discovery_check_interval_ms
         return MS_PER_SECOND * self.size <= budget
 
     def due(self, now_ms: float) -> bool:
-        """Whether a check now asks for the complete list."""
+        """Whether a check at this time requests the complete list."""
         return self.affordable() or now_ms >= self.due_at_ms
 
     def _draw(self) -> float:
-        """A number from 0 to below 1, the same for the same seed and place in the sequence."""
+        """The next number of a pseudo-random sequence in [0, 1) that the seed determines."""
         self._draws += 1
         text = f"{self.seed}/{self._draws}"
         digest = blake2b(text.encode(), digest_size=DRAW_BYTES).digest()
--- a/havendyke/net/list_queries.py
+++ b/havendyke/net/list_queries.py
@@ -1,4 +1,4 @@
-"""Connections to discovery: one query of the endpoint list each."""
+"""Connections to discovery, each of which runs one query of the endpoint list."""
 
 from __future__ import annotations
 
@@ -20,37 +20,37 @@
 
 
 class QueryState(Enum):
-    """How far a query has come."""
+    """Progress of a query."""
 
     CONNECTING = "connecting"
     REQUESTED = "requested"
-    RECEIVING = "receiving"  # part of the body has come
-    ANSWERED = "answered"  # the complete answer was taken
+    RECEIVING = "receiving"  # the body has begun
+    ANSWERED = "answered"  # the complete response was handled
 
 
-class _Answer:
-    """What has come of an answer: the response, and its body in lines."""
+class _Response:
+    """The response to a query: its parser, its body and the lines of the body."""
 
     def __init__(self, buffer: Buffer, limits: Limits) -> None:
-        self.response = ResponseParser(buffer, limits.max_header_bytes)
+        self.parser = ResponseParser(buffer, limits.max_header_bytes)
         self.body = Buffer(limits.initial_buffer_bytes, limits.max_message_bytes)
         self.lines = LineParser(self.body, limits.max_message_bytes)
 
 
 class ListQuery:
-    """A query of the endpoint list, and its answer.
+    """A query of the endpoint list.
 
-    `follow`: it is a watch, which brings changes since a version until it ends; else it asks for
-    the complete list.
+    With `follow` it is a watch, which brings the changes since a version until it ends; else it
+    requests the complete list.
     """
 
     name = "discovery"
 
     def __init__(self, discovery: Discovery, follow: bool, may_reveal_restart: bool = True) -> None:
-        """Connects; `connection` is None where no slot is free.
+        """Connects; `connection` is None if no slot is free.
 
-        `may_reveal_restart`: a complete list at a lower version, as the first answer, is that of
-        a discovery that has restarted, and not a late one.
+        `may_reveal_restart`: if the first update is a complete list at a lower version, discovery
+        has restarted; else such a list is late.
         """
         self.discovery = discovery
         self.follow = follow
@@ -61,26 +61,26 @@
         self.address = discovery.address
         self.event_loop = discovery.event_loop
         self._silence_timer = Timer(self.event_loop, self._close_silent)
-        self._answer: _Answer | None = None
+        self._response: _Response | None = None
         self.connection = self.event_loop.connect(self.address, self)
         if self.connection is not None:
             self._expect_bytes()
 
     @property
     def established(self) -> bool:
-        """Whether discovery has begun to answer."""
+        """Whether the body of the response has begun."""
         return self.state in (QueryState.RECEIVING, QueryState.ANSWERED)
 
     @property
     def answered(self) -> bool:
-        """Whether the complete answer was taken."""
+        """Whether the complete response was handled."""
         return self.state is QueryState.ANSWERED
 
     def opened(self, connection: Connection) -> None:
         """Sends the request."""
         self.state = QueryState.REQUESTED
         self.since = self.discovery.version
-        self._answer = _Answer(connection.buffer, self.event_loop.limits)
+        self._response = _Response(connection.buffer, self.event_loop.limits)
         if self.follow:
             request = get_request(f"{PATH}?follow=1&since={self.since}", self.address)
         else:
@@ -88,63 +88,63 @@
         connection.write(request)
 
     def received(self, connection: Connection) -> None:
-        """Takes what the answer has so far."""
-        assert self._answer is not None
-        lines = self._answer.lines
-        while (part := self._next_part(self._answer)) is not None:
-            # Bytes that never make a part of the body are silence too.
+        """Handles the received part of the response."""
+        assert self._response is not None
+        lines = self._response.lines
+        while (part := self._next_part(self._response)) is not None:
+            # Only bytes of the body count; a connection that sends none is silent.
             self._expect_bytes()
             if self.state is QueryState.REQUESTED:
                 self.state = QueryState.RECEIVING
                 self.discovery.query_established(self)
             self.discovery.mark_reachable()
-            self._answer.body.append(part)
+            self._response.body.append(part)
             while self.follow and (line := lines.next()) is not None:
                 if line:
-                    self.discovery.take_update(self, parse_object(line))
-        if self._answer.response.done:
-            self._take_answer(self._answer)
+                    self.discovery.handle_update(self, parse_object(line))
+        if self._response.parser.done:
+            self._handle_end(self._response)
             connection.close("done")
 
-    def closed(self, connection: Connection, why: str) -> None:
-        """Takes an answer whose end is the connection's, and tells discovery."""
+    def closed(self, connection: Connection, reason: str) -> None:
+        """Handles a response that ends with the connection, and notifies `Discovery`."""
         self._silence_timer.cancel()
-        answer = self._answer
+        response = self._response
         if (
-            why == "ended"
+            reason == "ended"
             and not self.follow
-            and answer is not None
-            and answer.response.ends_with_connection
+            and response is not None
+            and response.parser.ends_with_connection
         ):
-            # Whether such a list was cut, the end of its JSON tells.
+            # Truncation shows as invalid JSON.
             try:
-                self._take_answer(answer)
-                why = "done"
+                self._handle_end(response)
+                reason = "done"
             except ValueError as error:
-                why = "bad"
+                reason = "bad"
                 self.event_loop.count("bad_messages")
                 field = str(error)[:MAX_LOGGED_FIELD_CHARS]
                 self.event_loop.log("bad_message", peer=self.name, field=field)
-        self.discovery.query_closed(self, why)
+        self.discovery.query_closed(self, reason)
 
-    def close(self, why: str) -> None:
-        """Ends the query's connection."""
+    def close(self, reason: str) -> None:
+        """Closes the query's connection."""
         if self.connection is not None:
-            self.connection.close(why)
+            self.connection.close(reason)
 
     @staticmethod
-    def _next_part(answer: _Answer) -> memoryview | None:
-        response = answer.response
-        part = response.next()
-        # Checked without a part as well: an error without a body would pass for an empty answer.
-        if response.head_complete and response.status != STATUS_OK:
-            raise FieldError(f"status {response.status}")
+    def _next_part(response: _Response) -> memoryview | None:
+        parser = response.parser
+        part = parser.next()
+        # Checked even without a body: an error response without one would pass for an empty list.
+        if parser.head_complete and parser.status != STATUS_OK:
+            raise FieldError(f"response status {parser.status}")
         return part
 
-    def _take_answer(self, answer: _Answer) -> None:
+    def _handle_end(self, response: _Response) -> None:
         if not self.follow:
-            body = answer.body
-            self.discovery.take_complete_list(self, memoryview(body.data)[body.start : body.end])
+            body = response.body
+            self.discovery.handle_complete_list(self, memoryview(body.data)[body.start : body.end])
         self.state = QueryState.ANSWERED
 
     def _expect_bytes(self) -> None:
@@ -155,36 +155,36 @@
 
 
 class VersionCheck(ListQuery):
-    """Asks for what changed since the version that is held.
+    """Requests the changes since the known version.
 
-    It ends with the first line: an empty one where nothing changed, or one update. Its deadline
-    counts from its start, whatever comes.
+    Ends with the first line, which is empty if nothing changed, or else one update. Its timeout
+    runs from the start, whatever is received.
     """
 
     def __init__(self, discovery: Discovery) -> None:
-        """Connects; `connection` is None where no slot is free."""
+        """Connects; `connection` is None if no slot is free."""
         super().__init__(discovery, follow=True, may_reveal_restart=False)
 
     def received(self, connection: Connection) -> None:
-        """Takes the first line."""
-        answer = self._answer
-        assert answer is not None
-        while (part := self._next_part(answer)) is not None:
-            answer.body.append(part)
-            line = answer.lines.next()
+        """Handles the first line."""
+        response = self._response
+        assert response is not None
+        while (part := self._next_part(response)) is not None:
+            response.body.append(part)
+            line = response.lines.next()
             if line is not None:
-                self._take_line(line)
+                self._handle_line(line)
                 connection.close("done")
                 return
-        if answer.response.done:
+        if response.parser.done:
             connection.close("ended")
 
-    def closed(self, connection: Connection, why: str) -> None:
-        """Tells discovery."""
+    def closed(self, connection: Connection, reason: str) -> None:
+        """Notifies `Discovery`."""
         self._silence_timer.cancel()
-        self.discovery.version_check_closed(why)
+        self.discovery.version_check_closed(reason)
 
-    def _take_line(self, line: Any) -> None:
-        # Below `since`, discovery has restarted meanwhile: changes since then would leave a gap.
+    def _handle_line(self, line: Any) -> None:
+        # A known version below `since` means a restart meanwhile; the changes would leave a gap.
         if line and self.discovery.version >= self.since:
-            self.discovery.take_update(self, parse_object(line))
+            self.discovery.handle_update(self, parse_object(line))
--- a/havendyke/net/resp.py
+++ b/havendyke/net/resp.py
@@ -1,40 +1,39 @@
-"""RESP2: arrays of bulk strings, cut from a buffer without copying; touches no socket."""
+"""Incremental, zero-copy parser of RESP2 arrays of bulk strings, independent of sockets."""
 
 from ..fields import FieldError
 from .buffer import Buffer, MessageTooLongError
 
-MAX_LENGTH_LINE_BYTES = 32  # far more than a legal length takes
-MIN_PART_BYTES = 6  # of an empty bulk string, the shortest part a message can mean
+MAX_LENGTH_LINE_BYTES = 32  # longer than any valid length
+MIN_PART_BYTES = 6  # an empty bulk string, the shortest part
 TYPES = b"*$:+-"
 ARRAY, BULK_STRING = ord("*"), ord("$")
 
 
 class RespParser:
-    """Cuts the messages of one connection.
+    """Splits the bytes of one connection into messages.
 
-    It continues where it stopped: bytes that are cut anywhere, or many messages at once, give the
-    same messages.
+    The result does not depend on how the bytes are divided into reads.
     """
 
     def __init__(self, buffer: Buffer, max_message_bytes: int) -> None:
-        """Begins with what the buffer holds."""
+        """Starts at the beginning of the buffer."""
         self.buffer = buffer
         self.max_message_bytes = max_message_bytes
-        self._offset = 0  # from the message's start
+        self._offset = 0  # from the start of the message
         self._parts_left = -1  # negative between messages
-        # Where each part stands, by offset; None for a part that is no bulk string.
+        # Start and end offset of each part; None for a part that is not a bulk string.
         self._parts: list[tuple[int, int] | None] = []
 
     def next(self) -> list[memoryview | None] | None:
-        """The next message's parts, or None where none is complete.
+        """The parts of the next message, or None if none is complete.
 
-        A part that is no bulk string is None. The views hold until the buffer is read into. Raises
-        `FieldError` or `MessageTooLongError` where the rest of the stream cannot be understood.
+        A part that is not a bulk string is None. The views are valid until the buffer receives
+        more. Raises `FieldError` or `MessageTooLongError` if the stream cannot be parsed further.
         """
         if self._parts_left < 0 and not self._begin_message():
             return None
         while self._parts_left:
-            if not self._take_part():
+            if not self._parse_part():
                 return None
         view, start = memoryview(self.buffer.data), self.buffer.start
         self._parts_left, self.buffer.start = -1, start + self._offset
@@ -46,49 +45,51 @@
             raise FieldError(
                 f"expected an array, got {bytes(self.buffer.data[start : start + 1])!r}"
             )
-        head = self._take_length_line()
-        if head is None:
+        length_line = self._parse_length_line()
+        if length_line is None:
             return False
-        self._parts_left = self._array_size(head[1])
+        self._parts_left = self._array_size(length_line[1])
         return True
 
-    def _take_length_line(self) -> tuple[int, bytearray] | None:
-        """The type and the digits of the next line, or None where it is not complete."""
+    def _parse_length_line(self) -> tuple[int, bytearray] | None:
+        """The type and the digits of the next line, or None if it is incomplete."""
         data, start = self.buffer.data, self.buffer.start + self._offset
         if start >= self.buffer.end:
             return None
         if data[start] not in TYPES:
             raise FieldError(f"expected a type, got {bytes(data[start : start + 1])!r}")
-        stop = data.find(b"\r\n", start + 1, min(self.buffer.end, start + MAX_LENGTH_LINE_BYTES))
-        if stop < 0:
+        line_end = data.find(
+            b"\r\n", start + 1, min(self.buffer.end, start + MAX_LENGTH_LINE_BYTES)
+        )
+        if line_end < 0:
             if self.buffer.end - start >= MAX_LENGTH_LINE_BYTES:
-                raise FieldError("a length's line does not end")
+                raise FieldError("the line of a length does not end")
             return None
-        self._offset = stop + 2 - self.buffer.start
-        return data[start], data[start + 1 : stop]
+        self._offset = line_end + 2 - self.buffer.start
+        return data[start], data[start + 1 : line_end]
 
     @staticmethod
     def _length(digits: bytearray) -> int:
         if digits != b"-1" and not digits.isdigit():
-            raise FieldError(f"a length is {bytes(digits)!r}")
+            raise FieldError(f"invalid length {bytes(digits)!r}")
         return int(digits)
 
     def _array_size(self, digits: bytearray) -> int:
         count = self._length(digits)
         if count > self.max_message_bytes // MIN_PART_BYTES:
-            raise MessageTooLongError(f"an array of {count} parts")
+            raise MessageTooLongError(f"an array has {count} parts")
         return max(count, 0)
 
-    def _take_part(self) -> bool:
-        """Takes one part; returns whether it was complete."""
-        before, head = self._offset, self._take_length_line()
-        if head is None:
+    def _parse_part(self) -> bool:
+        """Parses one part; returns whether it is complete."""
+        part_offset, length_line = self._offset, self._parse_length_line()
+        if length_line is None:
             return False
-        part_type, digits = head
+        part_type, digits = length_line
         size = self._length(digits) if part_type == BULK_STRING else -1
         if self._offset + max(size, 0) + 2 > self.max_message_bytes:
-            raise MessageTooLongError(f"a message is over {self.max_message_bytes} bytes")
-        # A part of another type spoils its message alone: where it ends is known all the same.
+            raise MessageTooLongError(f"a message is longer than {self.max_message_bytes} bytes")
+        # A part of another type invalidates only its message, as its end is known.
         if part_type == ARRAY:
             self._parts_left += self._array_size(digits)
         if size < 0:
@@ -97,10 +98,10 @@
             return True
         start = self.buffer.start + self._offset
         if start + size + 2 > self.buffer.end:
-            self._offset = before
+            self._offset = part_offset
             return False
         if self.buffer.data[start + size : start + size + 2] != b"\r\n":
-            raise FieldError("a part does not end where its length says")
+            raise FieldError("a part does not end after its length")
         self._parts.append((self._offset, self._offset + size))
         self._offset += size + 2
         self._parts_left -= 1
@@ -108,7 +109,7 @@
 
 
 def encode(*parts: str) -> bytes:
-    """An array of bulk strings."""
+    """Encodes an array of bulk strings."""
     encoded = [f"*{len(parts)}\r\n".encode()]
     for part in parts:
         raw = part.encode()
--- a/havendyke/net/slots.py
+++ b/havendyke/net/slots.py
@@ -1,4 +1,4 @@
-"""Numbered slots: a bound on how many connections there are at a time."""
+"""Numbered slots, which bound the number of concurrent connections."""
 
 from collections.abc import Iterator
 from typing import Generic, TypeVar
@@ -7,16 +7,16 @@
 
 
 class SlotTable(Generic[Item]):
-    """A fixed number of slots; a full table refuses and does not raise."""
+    """A fixed number of slots."""
 
     def __init__(self, size: int) -> None:
-        """A table of `size` free slots."""
+        """Creates `size` free slots."""
         self.items: list[Item | None] = [None] * size
         self._free = list(range(size - 1, -1, -1))
-        self.max_used = 0  # the most slots in use at a time so far
+        self.max_used = 0  # high-water mark of the slots in use
 
     def acquire(self, item: Item) -> int | None:
-        """The number of the slot that `item` got, or None."""
+        """Assigns a slot to `item` and returns its number, or None if no slot is free."""
         if not self._free:
             return None
         number = self._free.pop()
@@ -25,15 +25,15 @@
         return number
 
     def release(self, number: int) -> None:
-        """Frees a slot; one that is free stays so."""
+        """Frees a slot; has no effect on a free one."""
         if self.items[number] is not None:
             self.items[number] = None
             self._free.append(number)
 
     def __len__(self) -> int:
-        """How many slots are in use."""
+        """The number of slots in use."""
         return len(self.items) - len(self._free)
 
     def __iter__(self) -> Iterator[Item]:
-        """The items that have a slot."""
+        """Iterates over the items that have a slot."""
         return (item for item in self.items if item is not None)
--- a/havendyke/net/timer.py
+++ b/havendyke/net/timer.py
@@ -1,4 +1,4 @@
-"""A deadline that its owner starts, starts again and cancels."""
+"""Restartable one-shot timers."""
 
 from collections.abc import Callable
 
@@ -7,28 +7,28 @@
 
 
 class Timer:
-    """Calls back once after the delay that it was started with last, unless it is cancelled."""
+    """Calls back once after the delay of the last `start`, unless it is cancelled."""
 
     def __init__(self, event_loop: EventLoop, callback: Callable[[], None]) -> None:
-        """Is not running before `start`."""
+        """Does not start the timer."""
         self._event_loop = event_loop
         self._callback = callback
         self._deadline: Deadline | None = None
-        self.at_ms = 0.0  # the time set by the last `start`; a cancel leaves it
+        self.at_ms = 0.0  # the due time of the last `start`; `cancel` keeps it
 
     @property
     def running(self) -> bool:
-        """Whether the callback is still to come."""
+        """Whether the callback is pending."""
         return self._deadline is not None
 
     def start(self, delay_ms: float) -> None:
-        """Starts the timer, from now on where it runs already."""
+        """Starts or restarts the timer."""
         self._event_loop.cancel(self._deadline)
         self._deadline = self._event_loop.after(delay_ms, self._expire)
         self.at_ms = self._deadline.at_ms
 
     def cancel(self) -> None:
-        """Stops the timer; one that does not run stays so."""
+        """Stops the timer if it is running."""
         self._event_loop.cancel(self._deadline)
         self._deadline = None
 
--- a/havendyke/net/wire_endpoint_list.py
+++ b/havendyke/net/wire_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint list and its changes, mapped to the controller's events."""
+"""Decodes discovery's endpoint list and its changes to events of the controller."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
@@ -14,15 +14,15 @@
     "terminating": core.ServerState.DRAINING,
     "terminated": core.ServerState.GONE,
 }
-UNKNOWN_ZONE = -1  # one that the settings do not name
-DEFAULT_MACHINE_KIND = 0  # the settings' first, also for a kind that they do not name
+UNKNOWN_ZONE = -1  # a zone that the settings do not name
+DEFAULT_MACHINE_KIND = 0  # the first in the settings, also used for unknown kinds
 
 
 class ReceivedEntry(NamedTuple):
-    """An entry for the controller, and the fields of it that recovery persists."""
+    """An entry for the controller, and the fields that recovery persists."""
 
     server_id: str
-    endpoint: str  # host:port, empty where the list has none
+    endpoint: str  # host:port; empty if the list has none
     zone_name: str
     machine_kind_name: str
     started_unix_ms: float  # 0: long ago
@@ -30,7 +30,7 @@
 
 
 class ReceivedList(NamedTuple):
-    """An endpoint list, or changes of it, as discovery sent it."""
+    """An endpoint list, or changes of it, from discovery."""
 
     event: core.EndpointListUpdate
     version: int
@@ -38,14 +38,14 @@
 
 
 class StartTime(NamedTuple):
-    """When a server started: as discovery states it, and by this process's clock."""
+    """When a server started: as discovery states it, and in the time of the local clock."""
 
     unix_ms: float
     clock_ms: float | None  # None: long ago
 
 
 class _ParsedEntry(NamedTuple):
-    """An entry's fields, checked; the server is not looked up yet."""
+    """The validated fields of an entry, before its server is looked up."""
 
     server_id: str
     endpoint: str
@@ -63,7 +63,7 @@
 
 
 class EndpointListDecoder:
-    """Decodes lists, and remembers the address and the start time of each server in them."""
+    """Decodes endpoint lists, and keeps the address and the start time of each server."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         wall_offset_ms: Callable[[], float],
         now_ms: Callable[[], float],
     ) -> None:
-        """`wall_offset_ms()`: what to add to Unix milliseconds to get the clock's."""
+        """`wall_offset_ms()`: the offset that converts Unix milliseconds to the clock."""
         self._registry = registry
         self._max_size = config.limits.max_reported_value
         self.wall_offset_ms = wall_offset_ms
@@ -81,7 +81,7 @@
         self.machine_kinds = {name: k for k, name in enumerate(config.wire_names.machine_kinds)}
         self.endpoints: dict[Server, str] = {}
         self.start_times: dict[Server, StartTime] = {}
-        # Set by recovery, which sees each list before the controller and may change what it sees.
+        # Set by recovery, which may modify each list before the controller gets it.
         self.filter: ListFilter | None = None
 
     def decode(
@@ -90,11 +90,11 @@
         scope: core.ListScope | None = None,
         on_invalid_entry: Callable[[FieldError], object] | None = None,
     ) -> ReceivedList:
-        """A list or changes of it; raises `FieldError`.
+        """Decodes a list or changes of it; raises `FieldError`.
 
-        `scope`: in place of the one that the message states. `on_invalid_entry(error)` is called
-        for each entry that cannot be read; the others count, and the list is taken for changes, so
-        that no server is taken for gone by it. Without it the first such entry is raised.
+        `scope` overrides the scope that the message states. `on_invalid_entry(error)` is called for
+        each invalid entry; the valid ones are decoded as changes, so that no server counts as
+        removed because its entry is invalid. Without it the first invalid entry raises the error.
         """
         version: int = read_field(message, "rev", int)
         complete: bool = read_field(message, "all", bool)
@@ -107,7 +107,7 @@
                     raise
                 on_invalid_entry(error)
                 complete = False
-        # Only what was read completely reaches the registry.
+        # The registry is updated only after the whole message was read.
         entries = [self._register(entry) for entry in parsed]
         if scope is None:
             scope = core.ListScope.COMPLETE if complete else core.ListScope.CHANGES
@@ -115,26 +115,26 @@
         return ReceivedList(event, version, entries)
 
     def accept(self, received: ReceivedList) -> core.EndpointListUpdate:
-        """The event for the controller, once the list is taken for the present one."""
+        """The event for the controller, once the list is accepted as the current one."""
         if self.filter is None:
             return received.event
         return self.filter(received.event, received.entries, received.version)
 
     def forget(self, servers: Sequence[Server]) -> None:
-        """Drops what is remembered of servers that have left for good."""
+        """Drops the state of servers that have left for good."""
         for server in servers:
             self.endpoints.pop(server, None)
             self.start_times.pop(server, None)
 
     def clock_ms(self, unix_ms: float) -> float | None:
-        """A start in the clock's time, never in the future; None for 0, which means long ago."""
-        # A start in the future is another clock's error: the server runs, so it has started.
+        """Converts a start time to the clock, never to the future; None for 0 (long ago)."""
+        # The server runs, so a start time in the future results from clock skew.
         return min(unix_ms + self.wall_offset_ms(), self._now_ms()) if unix_ms else None
 
     def start_ms(self, server: Server, unix_ms: float) -> float | None:
-        """A server's start in the clock's time, the same for good while the list states it so.
+        """A server's start time by the clock, constant while the list states the same time.
 
-        Converted anew, it would move with a step of the system's clock and look like a restart.
+        A new conversion would change with a step of the system clock and look like a restart.
         """
         known = self.start_times.get(server)
         if known is None or known.unix_ms != unix_ms:
--- a/havendyke/net/wire_reports.py
+++ b/havendyke/net/wire_reports.py
@@ -1,4 +1,4 @@
-"""The collectors' and servers' messages, mapped to load reports."""
+"""Decodes the messages of collectors and servers to load reports."""
 
 from collections.abc import Sequence
 
@@ -18,7 +18,7 @@
 SERVER_REPORT = b"LOAD"
 SLICE_REPORT = b"SHARD"
 MAX_QUOTED_KIND_CHARS = 40
-# Names of a server's figures on the wire, and the fields of `ServerLoad`.
+# Metrics of a server: names on the wire and fields of `ServerLoad`.
 LOAD_FIELDS = {
     "util": "cpu_share",
     "qps": "completed_per_s",
@@ -30,25 +30,25 @@
 
 
 def parse_server_load(text: str, maximum: float) -> core.ServerLoad:
-    """What a server says of itself, from a collector's report or a health check's answer.
+    """Parses a server's own load from a collector's report or the response to a health check.
 
-    The one writes `inflight:7,util:0.61`, the other `TEXT inflight=7, queue=2`. Unknown names are
-    skipped; raises `FieldError` for a figure out of the range from 0 to `maximum`.
+    Collectors write `inflight:7,util:0.61`, servers `TEXT inflight=7, queue=2`. Unknown names are
+    ignored. Raises `FieldError` for a value that is not from 0 to `maximum`.
     """
     text = text.strip().removeprefix("TEXT ")
-    figures = {}
+    load = {}
     for pair in text.split(","):
         name, _, value = pair.replace("=", ":").strip().partition(":")
         if name in LOAD_FIELDS:
-            figures[LOAD_FIELDS[name]] = parse_number(value.strip(), name, maximum)
-    return core.ServerLoad(**figures)
+            load[LOAD_FIELDS[name]] = parse_number(value.strip(), name, maximum)
+    return core.ServerLoad(**load)
 
 
 class ReportDecoder:
-    """Decodes the collectors' messages; raises `FieldError` where any field is wrong."""
+    """Decodes the messages of collectors; raises `FieldError` if any field is invalid."""
 
     def __init__(self, config: Config, registry: ObjectRegistry) -> None:
-        """Takes the names of zones and request classes from the settings."""
+        """Uses the zones and request classes of the configuration."""
         self._registry = registry
         self._limits = config.limits
         self._max_slice_id = max(config.settings.slice_count - 1, 0)
@@ -58,7 +58,7 @@
         }
 
     def zone_name(self, parts: Sequence[Part | None]) -> str:
-        """The zone that a joining collector names."""
+        """The zone that a collector names when it connects."""
         fields = parse_fields(parts)
         read_choice(fields, "az", self._zones)
         return fields["az"]
@@ -66,9 +66,9 @@
     def decode(
         self, parts: Sequence[Part | None]
     ) -> core.ServerLoadReport | core.SliceLoadReport | None:
-        """The report of a message; None where it is about an unknown server or slice.
+        """The report in a message; None if it is about an unknown server or slice.
 
-        Whatever is wrong with a field rejects the whole message: half of it would be believed.
+        An invalid field rejects the complete message, as a partial report would be misleading.
         """
         fields = parse_fields(parts)
         kind = bytes(parts[0] or b"")
@@ -76,7 +76,7 @@
             return self._server_report(fields)
         if kind == SLICE_REPORT:
             return self._slice_report(fields)
-        raise FieldError(f"kind '{decode_text(kind)[:MAX_QUOTED_KIND_CHARS]}' is unknown")
+        raise FieldError(f"unknown message '{decode_text(kind)[:MAX_QUOTED_KIND_CHARS]}'")
 
     def _server_report(self, fields: TextFields) -> core.ServerLoadReport | None:
         maximum = self._limits.max_reported_value
@@ -85,7 +85,7 @@
         window_ms = self._window_ms(fields)
         zone: int = read_choice(fields, "az", self._zones)
         server = self._registry.servers.get(read_field(fields, "host", str))
-        # Only where all attempts failed is there no mean latency of the others.
+        # The mean latency of successful attempts may be missing only if all attempts failed.
         default = "0" if attempts == failures else ...
         latency_ms = parse_number(read_field(fields, "avg", str, default), "avg", maximum)
         load = parse_server_load(fields.get("report", ""), maximum)
@@ -95,7 +95,7 @@
 
     def _slice_report(self, fields: TextFields) -> core.SliceLoadReport | None:
         requests = parse_count(fields, "n", self._limits.max_report_requests)
-        # Failures may be of requests that came in an earlier window, so they may be more.
+        # Failures may belong to requests of an earlier window, so there may be more of them.
         failures = parse_count(fields, "bad", self._limits.max_report_requests)
         window_ms = self._window_ms(fields)
         request_class: int = read_choice(fields, "kind", self._request_classes)
