--- a/havendyke/net/discovery.py
+++ b/havendyke/net/discovery.py
@@ -40,7 +40,7 @@
         self.checked_version = version
         self.logged_stale = False
 
-    def note(self, version: int, by_watch: bool, restarted: bool) -> None:
+    def record(self, version: int, by_watch: bool, restarted: bool) -> None:
         """Records the version of an update, which a watch or another query brought."""
         if restarted:
             self.watched_version = version
@@ -181,7 +181,8 @@
             return
         update = parse_object(body)
         all_valid = self.handle_update(query, update)
-        # A list with a lower version that was ignored may be the current one once no watch is left.
+        # Not remembered if its version is lower: it is ignored now, but may be current once no
+        # watch is left.
         if update["rev"] == self.version:
             self._last_list = (self.version, digest)
             self.pace.record_list(len(body), self.event_loop.now())
@@ -199,7 +200,7 @@
         query.may_reveal_restart = False
         is_check = isinstance(query, VersionCheck)
         by_watch = query.follow and not is_check
-        self._watch_progress.note(version, by_watch, restarted)
+        self._watch_progress.record(version, by_watch, restarted)
         # Each watch brings every update; those that a faster one has brought are ignored.
         same_version = not query.follow and version == self.version
         if version > self.version or restarted or same_version:
--- a/tests/net/test_buffer.py
+++ b/tests/net/test_buffer.py
@@ -1,4 +1,4 @@
-"""Buffers and the budget that they share."""
+"""Receive buffers and their shared budget."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from havendyke.net.json_lines import LineParser
 
 
-def test_buffers_give_back_what_long_messages_took():
+def test_buffers_return_their_growth_to_the_budget():
     budget = BufferBudget(1000)
     buffer = Buffer(16, 4096, budget)
     lines = LineParser(buffer, 4096)
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP responses: cut at every position, malformed, and of two meanings."""
+"""HTTP responses: split at every position, malformed, and ambiguous."""
 
 import pytest
 from helpers import parse_in_parts
@@ -9,17 +9,17 @@
 
 
 class Body:
-    """An answer's body with its status, as one item once it is over."""
+    """The status and the body of a response, as one item once it is complete."""
 
-    def __init__(self, buffer, most):
-        self.answer, self.body = ResponseParser(buffer, most), b""
+    def __init__(self, buffer, max_line_size):
+        self.parser, self.body = ResponseParser(buffer, max_line_size), b""
 
     def next(self):
-        while (part := self.answer.next()) is not None:
+        while (part := self.parser.next()) is not None:
             self.body += bytes(part)
-        if self.answer.done and self.body is not None:
+        if self.parser.done and self.body is not None:
             body, self.body = self.body, None
-            return self.answer.status, body
+            return self.parser.status, body
         return None
 
 
@@ -39,17 +39,17 @@
 ]
 
 
-@pytest.mark.parametrize("make, data, count", CASES)
-def test_cut_anywhere_gives_the_same(make, data, count):
-    whole = parse_in_parts(make, data, [])
-    assert len(whole) == count
-    assert parse_in_parts(make, data, range(1, len(data))) == whole
-    for cut in range(1, len(data)):
-        assert parse_in_parts(make, data, [cut]) == whole
+@pytest.mark.parametrize("make_parser, data, count", CASES)
+def test_a_response_split_anywhere_is_parsed_the_same(make_parser, data, count):
+    unsplit = parse_in_parts(make_parser, data, [])
+    assert len(unsplit) == count
+    assert parse_in_parts(make_parser, data, range(1, len(data))) == unsplit
+    for position in range(1, len(data)):
+        assert parse_in_parts(make_parser, data, [position]) == unsplit
 
 
 @pytest.mark.parametrize(
-    "make, data",
+    "make_parser, data",
     [
         (Body, b"SMTP 200\r\n"),
         (Body, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n"),
@@ -59,23 +59,23 @@
         (Body, b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n"),
     ],
 )
-def test_malformed_is_refused(make, data):
+def test_a_malformed_response_is_rejected(make_parser, data):
     with pytest.raises(ValueError):
-        parse_in_parts(make, data, [])
+        parse_in_parts(make_parser, data, [])
 
 
 @pytest.mark.parametrize(
-    "head, left",
+    "head, body",
     [
         (b"X: a\r\n Content-Length: 2", b"to the end"),
         (b"Content-Length: 2\r\ncontent-length: 2", b"to"),
     ],
 )
-def test_a_folded_line_belongs_to_the_field_before(head, left):
+def test_a_folded_line_continues_the_previous_header(head, body):
     buffer = Buffer(64, 4096)
-    answer = ResponseParser(buffer, 1024)
+    parser = ResponseParser(buffer, 1024)
     buffer.append(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\nto the end")
-    assert bytes(answer.next()) == left
+    assert bytes(parser.next()) == body
 
 
 @pytest.mark.parametrize(
@@ -88,10 +88,10 @@
         b" folded: first",
     ],
 )
-def test_heads_that_two_readers_could_take_differently_are_refused(head):
+def test_an_ambiguous_head_is_rejected(head):
     buffer = Buffer(64, 1 << 14)
-    answer = ResponseParser(buffer, 1 << 14)
+    parser = ResponseParser(buffer, 1 << 14)
     buffer.append(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\nabc")
     with pytest.raises((FieldError, MessageTooLongError)):
-        while answer.next() is not None:
+        while parser.next() is not None:
             pass
--- a/tests/net/test_json_lines.py
+++ b/tests/net/test_json_lines.py
@@ -1,4 +1,4 @@
-"""Lines of JSON: cut anywhere they are the same, and what is no object is rejected."""
+"""Newline-delimited JSON: splits at any position, and invalid lines."""
 
 import pytest
 from helpers import parse_in_parts
@@ -8,12 +8,12 @@
 LINES = b'{"a":1}\n\r\n{"b":"\xc3\xa9"}\r\n'
 
 
-def test_lines_are_the_same_however_the_bytes_are_cut():
+def test_lines_split_anywhere_are_parsed_the_same():
     lines = parse_in_parts(LineParser, LINES, [])
     assert len(lines) == 3
     assert parse_in_parts(LineParser, LINES, range(1, len(LINES))) == lines
-    for cut in range(1, len(LINES)):
-        assert parse_in_parts(LineParser, LINES, [cut]) == lines
+    for position in range(1, len(LINES)):
+        assert parse_in_parts(LineParser, LINES, [position]) == lines
 
 
 def test_a_line_over_the_limit_is_rejected():
@@ -22,6 +22,6 @@
 
 
 @pytest.mark.parametrize("line", [b"{", b"[1]", b"7", b"\xff"])
-def test_a_line_that_is_no_object_is_rejected(line):
+def test_a_line_that_is_not_a_json_object_is_rejected(line):
     with pytest.raises(ValueError):
         parse_object(memoryview(line))
--- a/tests/net/test_resp.py
+++ b/tests/net/test_resp.py
@@ -1,4 +1,4 @@
-"""RESP messages: cut anywhere they are the same, and what is malformed is rejected."""
+"""RESP messages: splits at any position, and malformed messages."""
 
 import pytest
 from helpers import parse_in_parts
@@ -12,12 +12,12 @@
 )
 
 
-def test_messages_are_the_same_however_the_bytes_are_cut():
+def test_messages_split_anywhere_are_parsed_the_same():
     messages = parse_in_parts(RespParser, MESSAGES, [])
     assert len(messages) == 3
     assert parse_in_parts(RespParser, MESSAGES, range(1, len(MESSAGES))) == messages
-    for cut in range(1, len(MESSAGES)):
-        assert parse_in_parts(RespParser, MESSAGES, [cut]) == messages
+    for position in range(1, len(MESSAGES)):
+        assert parse_in_parts(RespParser, MESSAGES, [position]) == messages
 
 
 @pytest.mark.parametrize(
