--- a/tests/net/test_collectors.py
+++ b/tests/net/test_collectors.py
@@ -1,4 +1,4 @@
-"""Connections that others open: collectors, their reports, and unidentified clients."""
+"""Incoming connections: collectors, their reports, and unidentified clients."""
 
 import pytest
 from helpers import (
@@ -35,10 +35,10 @@
 SHARD = ("SHARD", "partition", "4", "kind", "write", "n", "40", "bad", "1", "window", "1000.0")
 
 
-def changed(message, name, value):
+def with_field(message, name, value):
     parts = list(message)
-    at = parts.index(name)
-    parts[at : at + 2] = [] if value is None else [name, value]
+    index = parts.index(name)
+    parts[index : index + 2] = [] if value is None else [name, value]
     return encode(*parts)
 
 
@@ -62,32 +62,40 @@
 
 
 def test_reports_become_events_and_nothing_is_written_to_a_collector():
-    assigner, hub = make_assigner()
+    assigner, event_loop = make_assigner()
     suspend_reconciliation(assigner).registry.slice(4)
     take_pending_events(assigner)
     connection = connect_client(assigner)
     feed(
         connection,
-        encode("SOURCE", "az", "a") + encode(*LOAD) + encode(*SHARD) + changed(SHARD, "bad", "41"),
+        encode("SOURCE", "az", "a")
+        + encode(*LOAD)
+        + encode(*SHARD)
+        + with_field(SHARD, "bad", "41"),
     )
-    load, shard, late = take_pending_events(assigner)
-    assert late.failures == 41  # of operations that came before
-    assert (load.attempts, load.failures, load.latency_ms, load.load) == (
+    server_report, slice_report, late_report = take_pending_events(assigner)
+    assert late_report.failures == 41  # of requests in an earlier window
+    assert (
+        server_report.attempts,
+        server_report.failures,
+        server_report.latency_ms,
+        server_report.load,
+    ) == (
         212,
         3,
         41.7,
         core.ServerLoad(in_flight=7.0, cpu_share=0.61),
     )
-    assert (shard.slice.id, shard.request_class, shard.requests) == (4, 1, 40)
-    hub.pass_time(15_000)
+    assert (slice_report.slice.id, slice_report.request_class, slice_report.requests) == (4, 1, 40)
+    event_loop.pass_time(15_000)
     assert connection.transport.written == b"" and not connection.ended
     feed(connection, encode("PING"))
     assert connection.transport.written == b"*1\r\n$4\r\nPONG\r\n"
 
 
 @pytest.mark.parametrize("change", [("host", "s9"), ("partition", "7")])
-def test_reports_of_the_unknown_do_no_harm(change):
-    assigner, hub = make_assigner()
+def test_reports_about_unknown_servers_or_slices_are_ignored(change):
+    assigner, event_loop = make_assigner()
     take_pending_events(suspend_reconciliation(assigner))
     connection = connect_client(assigner)
     parts = list(LOAD if change[0] == "host" else SHARD)
@@ -96,13 +104,13 @@
     assert (
         take_pending_events(assigner) == []
         and not connection.ended
-        and hub.counters["reports_unknown"] == 1
+        and event_loop.counters["reports_unknown"] == 1
     )
 
 
 @pytest.mark.parametrize(
     "malformed",
-    [changed(*s) for s in MALFORMED]
+    [with_field(*case) for case in MALFORMED]
     + [
         encode("LOAD", "az"),
         encode("ODD"),
@@ -117,9 +125,10 @@
         encode(*LOAD).replace(b"$3\r\n212", b"*2\r\n$1\r\n2\r\n+OK"),
     ],
 )
-def test_a_malformed_message_costs_neither_its_collector_nor_its_neighbours(malformed):
-    # One bad report reset its collector: what all of its zone met was missing until it came again.
-    assigner, hub = make_assigner()
+def test_a_malformed_message_affects_neither_its_connection_nor_other_messages(malformed):
+    # If a bad report closed its connection, all reports of its zone would be missing until the
+    # collector reconnects.
+    assigner, event_loop = make_assigner()
     suspend_reconciliation(assigner).registry.slice(4)
     take_pending_events(assigner)
     connection = connect_client(assigner)
@@ -128,7 +137,7 @@
         "ServerLoadReport",
         "SliceLoadReport",
     ] and not connection.ended
-    assert hub.counters["bad_reports"] == 1
+    assert event_loop.counters["bad_reports"] == 1
 
 
 @pytest.mark.parametrize(
@@ -151,65 +160,71 @@
     ],
 )
 def test_an_unidentified_client_that_sends_something_else_is_rejected_at_once(sends):
-    assigner, hub = make_assigner()
+    assigner, event_loop = make_assigner()
     take_pending_events(suspend_reconciliation(assigner))
-    stranger, good = connect_client(assigner), connect_client(assigner)
-    feed(good, encode("SOURCE", "az", "a"))
-    feed(stranger, sends + encode("SOURCE", "az", "a"))
-    assert stranger.ended and not good.ended and take_pending_events(assigner) == []
-    assert stranger.transport.written in (b"", encode("NACK"))
+    client, collector = connect_client(assigner), connect_client(assigner)
+    feed(collector, encode("SOURCE", "az", "a"))
+    feed(client, sends + encode("SOURCE", "az", "a"))
+    assert client.ended and not collector.ended and take_pending_events(assigner) == []
+    assert client.transport.written in (b"", encode("NACK"))
 
 
 @pytest.mark.parametrize("sends", [b"", b"*3\r\n$4\r\nLO", encode("PING") * 3])
 def test_a_client_that_never_identifies_itself_is_closed_even_if_it_pings(sends):
-    assigner, hub = make_assigner()
-    stranger = connect_client(suspend_reconciliation(assigner))
-    feed(stranger, sends)
+    assigner, event_loop = make_assigner()
+    client = connect_client(suspend_reconciliation(assigner))
+    feed(client, sends)
     for _ in range(15):
-        hub.pass_time(100)
-        if not stranger.ended:
-            feed(stranger, sends)
-    assert stranger.ended and len(hub.slots) == 0
+        event_loop.pass_time(100)
+        if not client.ended:
+            feed(client, sends)
+    assert client.ended and len(event_loop.slots) == 0
 
 
-def test_a_half_open_collector_gives_up_its_place():
-    assigner, hub = make_assigner()
-    half, good = connect_client(suspend_reconciliation(assigner)), connect_client(assigner)
-    for connection in (half, good):
+def test_a_half_open_collector_releases_its_slot():
+    assigner, event_loop = make_assigner()
+    half_open, collector = (
+        connect_client(suspend_reconciliation(assigner)),
+        connect_client(assigner),
+    )
+    for connection in (half_open, collector):
         feed(connection, encode("SOURCE", "az", "a"))
     for _ in range(60):
-        hub.pass_time(1000)
-        feed(good, encode(*SHARD))
-    assert half.ended and not good.ended
+        event_loop.pass_time(1000)
+        feed(collector, encode(*SHARD))
+    assert half_open.ended and not collector.ended
 
 
 def test_unidentified_clients_are_closed_and_never_keep_collectors_out():
-    assigner, hub = make_assigner(max_clients=3, max_connections=4)
+    assigner, event_loop = make_assigner(max_clients=3, max_connections=4)
     collector = connect_client(suspend_reconciliation(assigner))
     feed(collector, encode("SOURCE", "az", "a"))
-    strangers = [connect_client(assigner) for _ in range(5)]
+    unidentified = [connect_client(assigner) for _ in range(5)]
     late = connect_client(assigner)
     feed(late, encode("SOURCE", "az", "b"))
-    assert not collector.ended and not late.ended and [s.ended for s in strangers].count(False) == 1
-    hub.pass_time(1600)
-    assert all(s.ended for s in strangers) and not collector.ended
+    assert (
+        not collector.ended and not late.ended and [c.ended for c in unidentified].count(False) == 1
+    )
+    event_loop.pass_time(1600)
+    assert all(c.ended for c in unidentified) and not collector.ended
 
 
-def test_many_unidentified_clients_at_once_are_kept_within_the_limit():
-    # The loop accepts a whole backlog before the first of them is up: all were let in.
-    assigner, hub = make_assigner(max_clients=8, max_connections=100)
-    made = [assigner.collectors.accept() for _ in range(50)]
-    for connection in made:
+def test_many_simultaneous_unidentified_clients_stay_within_the_limit():
+    # The event loop accepts a whole backlog before the first connection is established. If only
+    # established ones counted, all of them would be let in.
+    assigner, event_loop = make_assigner(max_clients=8, max_connections=100)
+    accepted = [assigner.collectors.accept() for _ in range(50)]
+    for connection in accepted:
         connection.connection_made(StubTransport())
-    assert len(hub.slots) == 8 and len(assigner.collectors.clients) == 8
-    feed(made[-1], encode("PING"))
-    assert made[-1].transport.written
+    assert len(event_loop.slots) == 8 and len(assigner.collectors.clients) == 8
+    feed(accepted[-1], encode("PING"))
+    assert accepted[-1].transport.written
 
 
 def test_a_collector_may_send_longer_messages_than_an_unidentified_client():
-    assigner, hub = make_assigner()
+    assigner, event_loop = make_assigner()
     take_pending_events(suspend_reconciliation(assigner))
     collector = connect_client(assigner)
-    padding = "x" * (2 * hub.limits.max_unidentified_message_bytes)
+    padding = "x" * (2 * event_loop.limits.max_unidentified_message_bytes)
     feed(collector, encode("SOURCE", "az", "a") + encode(*LOAD, "padding", padding))
     assert len(take_pending_events(assigner, core.ServerLoadReport)) == 1 and not collector.ended
--- a/tests/net/test_health_checks.py
+++ b/tests/net/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: each outcome, the limit on how many are in flight, addresses."""
+"""Health checks: outcomes, the concurrency limit and unusable addresses."""
 
 import pytest
 from helpers import StubTransport, feed, make_assigner, suspend_reconciliation, take_pending_events
@@ -6,42 +6,42 @@
 from havendyke import interface as core
 
 
-def wait_for_timeout(connection, hub):
-    hub.pass_time(600)
+def wait_for_timeout(connection, event_loop):
+    event_loop.pass_time(600)
 
 
 ENDINGS = {
-    "refused": (core.HealthCheckOutcome.REFUSED, lambda c, hub: c.close("refused")),
-    "unreachable": (core.HealthCheckOutcome.REFUSED, lambda c, hub: c.close("timeout")),
+    "refused": (core.HealthCheckOutcome.REFUSED, lambda c, event_loop: c.close("refused")),
+    "unreachable": (core.HealthCheckOutcome.REFUSED, lambda c, event_loop: c.close("timeout")),
     "reset": (
         core.HealthCheckOutcome.RESET,
-        lambda c, hub: (c.connection_made(StubTransport()), c.close("reset")),
+        lambda c, event_loop: (c.connection_made(StubTransport()), c.close("reset")),
     ),
     "silent": (
         core.HealthCheckOutcome.TIMED_OUT,
-        lambda c, hub: (c.connection_made(StubTransport()), wait_for_timeout(c, hub)),
+        lambda c, event_loop: (c.connection_made(StubTransport()), wait_for_timeout(c, event_loop)),
     ),
     "503": (
         core.HealthCheckOutcome.SATURATED,
-        lambda c, hub: (
+        lambda c, event_loop: (
             c.connection_made(StubTransport()),
             feed(c, b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
         ),
     ),
     "junk": (
         core.HealthCheckOutcome.ERROR,
-        lambda c, hub: (c.connection_made(StubTransport()), feed(c, b"junk\r\n")),
+        lambda c, event_loop: (c.connection_made(StubTransport()), feed(c, b"junk\r\n")),
     ),
     "report": (
         core.HealthCheckOutcome.PASSED,
-        lambda c, hub: (
+        lambda c, event_loop: (
             c.connection_made(StubTransport()),
             feed(c, b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\nTEXT inflight=7, x=2, "),
         ),
     ),
     "to the end": (
         core.HealthCheckOutcome.PASSED,
-        lambda c, hub: (
+        lambda c, event_loop: (
             c.connection_made(StubTransport()),
             feed(c, b"HTTP/1.1 200 OK\r\n\r\nTEXT inflight=7"),
             c.eof_received(),
@@ -51,13 +51,13 @@
 
 
 @pytest.mark.parametrize("case", ENDINGS)
-def test_each_end_of_a_health_check_has_its_outcome(case):
-    assigner, hub = make_assigner()
+def test_each_way_a_health_check_ends_has_its_outcome(case):
+    assigner, event_loop = make_assigner()
     take_pending_events(suspend_reconciliation(assigner))
     assigner.health_checker.check(assigner.registry.servers["s1"])
-    connection = hub.open("health_checks", up=False)
+    connection = event_loop.open("health_checks", up=False)
     outcome, act = ENDINGS[case]
-    act(connection, hub)
+    act(connection, event_loop)
     (event,) = take_pending_events(assigner)
     assert (event.outcome, connection.ended, assigner.health_checker.in_flight) == (
         outcome,
@@ -71,26 +71,28 @@
     )
 
 
-def test_a_check_beyond_the_limit_waits_for_another_to_end():
-    # 200 servers were asked at one look with room for 64: the rest was never answered, nor asked
-    # again for 2 s.
-    assigner, hub = make_assigner(max_health_checks=2)
+def test_a_check_beyond_the_limit_is_queued():
+    # With 200 checks due at once and a limit of 64, checks that are not queued would get no result
+    # and no retry for 2 s.
+    assigner, event_loop = make_assigner(max_health_checks=2)
     for name in ("s1", "s2", "s3", "s3"):
         assigner.health_checker.check(assigner.registry.servers[name])
-    assert assigner.health_checker.in_flight == 2 and len(hub.made) == 2
-    assert [said for said, _ in hub.logged].count("health_checks_queued") == 1
-    hub.made[0].close("refused")
+    assert assigner.health_checker.in_flight == 2 and len(event_loop.made) == 2
+    assert [event for event, _ in event_loop.logged].count("health_checks_queued") == 1
+    event_loop.made[0].close("refused")
     assert (
         assigner.health_checker.in_flight == 2
-        and len(hub.made) == 3
+        and len(event_loop.made) == 3
         and not assigner.health_checker.queue
     )
 
 
-@pytest.mark.parametrize("end", ["", "host.example:80", "127.0.0.1", "127.0.0.1:99999", "[::1]:x"])
-def test_a_server_without_a_usable_address_is_not_checked(end):
-    assigner, hub = make_assigner()
+@pytest.mark.parametrize(
+    "address", ["", "host.example:80", "127.0.0.1", "127.0.0.1:99999", "[::1]:x"]
+)
+def test_a_server_without_a_usable_address_is_not_checked(address):
+    assigner, event_loop = make_assigner()
     server = assigner.registry.servers["s1"]
-    assigner.messages.endpoint_list.endpoints[server] = end
+    assigner.messages.endpoint_list.endpoints[server] = address
     assigner.health_checker.check(server)
-    assert hub.counters["health_checks_skipped"] == 1 and not hub.made
+    assert event_loop.counters["health_checks_skipped"] == 1 and not event_loop.made
--- a/tests/net/test_list_checks.py
+++ b/tests/net/test_list_checks.py
@@ -1,5 +1,5 @@
-"""Checks of a large list by version: what they bring, how they end and fail, and when the whole
-list is asked for."""
+"""Checks of the endpoint list by version: their results and failures, and when the complete list is
+requested."""
 
 import time
 from itertools import pairwise
@@ -15,35 +15,35 @@
 from havendyke.net.list_pace import CompleteListPace
 from havendyke.net.list_queries import VersionCheck
 
-LARGE, SMALL = 400, 20  # tasks
-BOUND = 39_000  # bytes of a list that costs 13,000 a second at each 3 s
-EMPTY = chunk(b"\n")
+LARGE, SMALL = 400, 20  # servers
+MAX_AFFORDABLE_BYTES = 39_000  # 13,000 bytes/s, with a check every 3 s
+KEEP_ALIVE = chunk(b"\n")
 
 
-def changes(rev, *entries, whole=False):
-    return {"rev": rev, "all": whole, "targets": list(entries)}
+def update(rev, *entries, complete=False):
+    return {"rev": rev, "all": complete, "targets": list(entries)}
 
 
-def drain(rev, name="s1"):
-    return chunk(changes(rev, listed_server(name, "terminating")))
+def draining_update(rev, name="s1"):
+    return chunk(update(rev, listed_server(name, "terminating")))
 
 
-class Registry:
-    """Discovery's side of a hub's connections, moved by the test."""
+class SimulatedDiscovery:
+    """Discovery's side of the connections, controlled by the test."""
 
-    def __init__(self, tasks, **limits):
-        self.assigner, self.hub = make_assigner(**limits)
-        self.discovery = suspend_reconciliation(self.assigner).discovery
-        self.discovery.start()
-        self.answer_whole(tasks)
-        self.grant_watches()
+    def __init__(self, server_count, **limits):
+        self.assigner, self.event_loop = make_assigner(**limits)
+        self.client = suspend_reconciliation(self.assigner).discovery
+        self.client.start()
+        self.send_complete_list(server_count)
+        self.establish_watches()
         take_pending_events(self.assigner)
 
     def connections(self) -> list:
-        made = self.hub.standing("discovery")
-        return [self.hub.up(c) for c in made]
+        open_connections = self.event_loop.standing("discovery")
+        return [self.event_loop.up(c) for c in open_connections]
 
-    def wholes(self) -> list:
+    def list_queries(self) -> list:
         return [c for c in self.connections() if not c.peer.follow]
 
     def checks(self) -> list:
@@ -54,30 +54,30 @@
             c for c in self.connections() if c.peer.follow and not isinstance(c.peer, VersionCheck)
         ]
 
-    def grant_watches(self):
+    def establish_watches(self):
         for watch in self.watches():
             if not watch.peer.established:
-                feed_bytes(watch, CHUNKED + EMPTY)
+                feed_bytes(watch, CHUNKED + KEEP_ALIVE)
 
-    def answer_whole(self, tasks, rev=1):
+    def send_complete_list(self, server_count, rev=1):
         body = orjson.dumps(
-            changes(rev, *(listed_server(f"s{k}") for k in range(tasks)), whole=True)
+            update(rev, *(listed_server(f"s{k}") for k in range(server_count)), complete=True)
         )
-        (connection,) = self.wholes()
+        (connection,) = self.list_queries()
         feed_bytes(connection, head(f"Content-Length: {len(body)}") + body)
 
     def pass_time(self, ms, step=250.0):
-        """With the watches' empty lines."""
-        end = self.hub.time + ms
-        while self.hub.time < end:
+        """Lets time pass while the watches receive keep-alive lines."""
+        end = self.event_loop.time + ms
+        while self.event_loop.time < end:
             for watch in self.watches():
-                feed_bytes(watch, EMPTY)
-            self.hub.pass_time(min(step, end - self.hub.time))
+                feed_bytes(watch, KEEP_ALIVE)
+            self.event_loop.pass_time(min(step, end - self.event_loop.time))
 
-    def check(self):
-        """The next check by version, its connection up."""
-        end = self.hub.time + 3500.0
-        while not self.checks() and self.hub.time < end:
+    def wait_for_check(self):
+        """Waits for the next check by version, and establishes its connection."""
+        end = self.event_loop.time + 3500.0
+        while not self.checks() and self.event_loop.time < end:
             self.pass_time(250.0)
         (check,) = self.checks()
         return check
@@ -89,242 +89,251 @@
         ]
 
     def count(self, name) -> int:
-        return self.hub.counters.get(name, 0)
+        return self.event_loop.counters.get(name, 0)
 
     def logged(self, name) -> int:
-        return sum(event == name for event, _ in self.hub.logged)
+        return sum(event == name for event, _ in self.event_loop.logged)
 
 
-def test_a_small_list_is_asked_for_whole_at_each_check():
-    registry = Registry(SMALL)
+def test_a_small_list_is_requested_completely_at_each_check():
+    discovery = SimulatedDiscovery(SMALL)
     for _ in range(4):
-        registry.pass_time(3000)
-        assert not registry.checks()
-        registry.answer_whole(SMALL)
-    assert registry.count("list_unchanged") == 4
+        discovery.pass_time(3000)
+        assert not discovery.checks()
+        discovery.send_complete_list(SMALL)
+    assert discovery.count("list_unchanged") == 4
 
 
 def test_a_large_list_is_checked_by_version_and_an_empty_line_ends_the_check():
-    registry = Registry(LARGE)
-    feed_bytes(registry.watches()[0], chunk(changes(5, listed_server("s3"))))
-    registry.events()
+    discovery = SimulatedDiscovery(LARGE)
+    feed_bytes(discovery.watches()[0], chunk(update(5, listed_server("s3"))))
+    discovery.events()
     for _ in range(4):
-        check = registry.check()
+        check = discovery.wait_for_check()
         assert b"/registry/instances?follow=1&since=5 " in check.transport.written
         feed_bytes(
             check,
             CHUNKED
-            + chunk(b"\n" + orjson.dumps(changes(9, listed_server("s1"))) + b"\n")
-            + drain(9),
+            + chunk(b"\n" + orjson.dumps(update(9, listed_server("s1"))) + b"\n")
+            + draining_update(9),
         )
-        assert check.ended and registry.events() == []
-    assert not registry.wholes() and registry.count("closed_discovery_done") == 5
-
-
-def test_what_the_watches_hold_back_is_taken_and_the_whole_list_asked_for():
-    registry = Registry(LARGE)
-    check = registry.check()
-    feed_bytes(check, CHUNKED + drain(4))
-    assert check.ended and registry.events() == [("changes", 1)] and registry.discovery.version == 4
-    registry.pass_time(150, step=50)
-    assert registry.count("watches_stale") == 1 and not registry.wholes()[0].peer.may_reveal_restart
-    registry.answer_whole(LARGE, rev=4)
-    assert registry.events() == [("complete", LARGE)]
-    # Said once, until a watch tells something again.
+        assert check.ended and discovery.events() == []
+    assert not discovery.list_queries() and discovery.count("closed_discovery_done") == 5
+
+
+def test_an_update_that_the_watches_withhold_is_applied_and_the_complete_list_requested():
+    discovery = SimulatedDiscovery(LARGE)
+    check = discovery.wait_for_check()
+    feed_bytes(check, CHUNKED + draining_update(4))
+    assert check.ended and discovery.events() == [("changes", 1)] and discovery.client.version == 4
+    discovery.pass_time(150, step=50)
+    assert (
+        discovery.count("watches_stale") == 1
+        and not discovery.list_queries()[0].peer.may_reveal_restart
+    )
+    discovery.send_complete_list(LARGE, rev=4)
+    assert discovery.events() == [("complete", LARGE)]
+    # Logged once, until a watch brings an update again.
     for rev, logged in ((5, 1), (7, 2)):
-        feed_bytes(registry.check(), CHUNKED + drain(rev))
-        registry.pass_time(150, step=50)
-        registry.answer_whole(LARGE, rev=rev)
-        assert registry.logged("watches_stale") == logged
-        feed_bytes(registry.watches()[0], chunk(changes(rev + 1, listed_server("s5"))))
+        feed_bytes(discovery.wait_for_check(), CHUNKED + draining_update(rev))
+        discovery.pass_time(150, step=50)
+        discovery.send_complete_list(LARGE, rev=rev)
+        assert discovery.logged("watches_stale") == logged
+        feed_bytes(discovery.watches()[0], chunk(update(rev + 1, listed_server("s5"))))
 
 
 @pytest.mark.parametrize("check_first", [True, False])
-def test_a_check_at_the_moment_a_watch_tells_the_same_is_one_event_and_no_proof(check_first):
-    registry = Registry(LARGE)
-    check, watch = registry.check(), registry.watches()[0]
+def test_an_update_by_a_check_and_a_watch_at_once_is_one_event_and_no_stale_watch(check_first):
+    discovery = SimulatedDiscovery(LARGE)
+    check, watch = discovery.wait_for_check(), discovery.watches()[0]
     feed_bytes(check, CHUNKED)
     for connection in (check, watch) if check_first else (watch, check):
-        feed_bytes(connection, drain(4))
-    registry.pass_time(500)
-    assert registry.events() == [("changes", 1)] and registry.count("list_already_known") == 1
-    assert registry.count("watches_stale") == 0 and not registry.wholes()
+        feed_bytes(connection, draining_update(4))
+    discovery.pass_time(500)
+    assert discovery.events() == [("changes", 1)] and discovery.count("list_already_known") == 1
+    assert discovery.count("watches_stale") == 0 and not discovery.list_queries()
 
 
-def test_a_check_proves_nothing_where_no_watch_stands():
-    registry = Registry(LARGE)
-    check = registry.check()
-    for watch in registry.watches():
+def test_a_check_reveals_no_stale_watch_if_none_is_established():
+    discovery = SimulatedDiscovery(LARGE)
+    check = discovery.wait_for_check()
+    for watch in discovery.watches():
         watch.close("reset")
-    feed_bytes(check, CHUNKED + drain(4))
-    registry.hub.pass_time(200)
-    assert registry.events() == [("changes", 1)] and registry.count("watches_stale") == 0
+    feed_bytes(check, CHUNKED + draining_update(4))
+    discovery.event_loop.pass_time(200)
+    assert discovery.events() == [("changes", 1)] and discovery.count("watches_stale") == 0
 
 
-def test_a_whole_list_in_place_of_changes_is_taken_only_at_a_higher_version():
-    registry = Registry(LARGE)
-    feed_bytes(registry.watches()[0], chunk(changes(5, listed_server("s3"))))
-    registry.events()
+def test_a_complete_list_in_place_of_changes_is_applied_only_at_a_higher_version():
+    discovery = SimulatedDiscovery(LARGE)
+    feed_bytes(discovery.watches()[0], chunk(update(5, listed_server("s3"))))
+    discovery.events()
     for rev, events in ((4, []), (5, []), (6, [("complete", 2)])):
         feed_bytes(
-            registry.check(),
-            CHUNKED + chunk(changes(rev, listed_server("s1"), listed_server("s2"), whole=True)),
+            discovery.wait_for_check(),
+            CHUNKED + chunk(update(rev, listed_server("s1"), listed_server("s2"), complete=True)),
         )
-        assert registry.events() == events
-    assert registry.discovery.version == 6
+        assert discovery.events() == events
+    assert discovery.client.version == 6
 
 
-def test_changes_since_a_version_that_discovery_has_gone_back_from_are_left():
-    registry = Registry(LARGE)
-    feed_bytes(registry.watches()[0], chunk(changes(50, listed_server("s3"))))
-    check = registry.check()
-    for watch in registry.watches():
+def test_changes_since_a_version_before_a_restart_of_discovery_are_ignored():
+    discovery = SimulatedDiscovery(LARGE)
+    feed_bytes(discovery.watches()[0], chunk(update(50, listed_server("s3"))))
+    check = discovery.wait_for_check()
+    for watch in discovery.watches():
         watch.close("reset")
-    registry.hub.pass_time(400)
-    registry.answer_whole(LARGE, rev=3)  # its new start
-    registry.events()
-    feed_bytes(check, CHUNKED + drain(52))
-    assert check.ended and registry.events() == [] and registry.discovery.version == 3
+    discovery.event_loop.pass_time(400)
+    discovery.send_complete_list(LARGE, rev=3)  # after its restart
+    discovery.events()
+    feed_bytes(check, CHUNKED + draining_update(52))
+    assert check.ended and discovery.events() == [] and discovery.client.version == 3
 
 
-def test_after_a_new_start_at_lower_versions_held_back_news_are_seen():
-    registry = Registry(LARGE)
-    feed_bytes(registry.watches()[0], chunk(changes(50, listed_server("s3"))))
-    for watch in registry.watches():
+def test_stale_watches_are_detected_after_a_restart_at_lower_versions():
+    discovery = SimulatedDiscovery(LARGE)
+    feed_bytes(discovery.watches()[0], chunk(update(50, listed_server("s3"))))
+    for watch in discovery.watches():
         watch.close("reset")
-    registry.hub.pass_time(400)
-    registry.answer_whole(LARGE, rev=3)
-    registry.grant_watches()
-    feed_bytes(registry.check(), CHUNKED + drain(4))
-    registry.pass_time(150, step=50)
-    assert registry.count("watches_stale") == 1
+    discovery.event_loop.pass_time(400)
+    discovery.send_complete_list(LARGE, rev=3)
+    discovery.establish_watches()
+    feed_bytes(discovery.wait_for_check(), CHUNKED + draining_update(4))
+    discovery.pass_time(150, step=50)
+    assert discovery.count("watches_stale") == 1
 
 
-def silent(registry, check):
-    registry.pass_time(2700)
+def stay_silent(discovery, check):
+    discovery.pass_time(2700)
 
 
-def half_a_line(registry, check):
-    """Then a byte now and then, which must not keep it up."""
+def send_half_a_line(discovery, check):
+    """Sends an incomplete line, then single bytes, which must not extend the timeout."""
     feed_bytes(check, CHUNKED + chunk(b'{"rev":'))
     for _ in range(6):
-        registry.pass_time(450)
+        discovery.pass_time(450)
         feed_bytes(check, chunk(b" "))
 
 
-def answered(data):
-    return lambda registry, check: feed_bytes(check, data)
+def respond_with(data):
+    return lambda discovery, check: feed_bytes(check, data)
 
 
 FAILURES = {
-    "silent": silent,
-    "half a line": half_a_line,
-    "reset": lambda registry, check: check.close("reset"),
-    "503": answered(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
-    "no line": answered(CHUNKED + b"0\r\n\r\n"),
-    "no list": answered(CHUNKED + chunk({"rev": 1})),
-    "no body": answered(head("Content-Length: 0")),
+    "silent": stay_silent,
+    "half a line": send_half_a_line,
+    "reset": lambda discovery, check: check.close("reset"),
+    "503": respond_with(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
+    "no line": respond_with(CHUNKED + b"0\r\n\r\n"),
+    "no list": respond_with(CHUNKED + chunk({"rev": 1})),
+    "no body": respond_with(head("Content-Length: 0")),
 }
 
 
 @pytest.mark.parametrize("failure", FAILURES)
-def test_a_failed_check_changes_nothing_and_two_in_a_row_ask_for_the_whole_list(failure):
-    registry = Registry(LARGE)
-    for ending in (FAILURES[failure], answered(CHUNKED + EMPTY), FAILURES[failure]):
-        check = registry.check()
-        ending(registry, check)
-        assert check.ended and not registry.wholes() and not registry.discovery.unreachable
-    check = registry.check()
-    FAILURES[failure](registry, check)
-    assert check.ended and not registry.wholes()[0].peer.may_reveal_restart
+def test_a_failed_check_has_no_effect_and_two_in_a_row_request_the_complete_list(failure):
+    discovery = SimulatedDiscovery(LARGE)
+    for ending in (FAILURES[failure], respond_with(CHUNKED + KEEP_ALIVE), FAILURES[failure]):
+        check = discovery.wait_for_check()
+        ending(discovery, check)
+        assert check.ended and not discovery.list_queries() and not discovery.client.unreachable
+    check = discovery.wait_for_check()
+    FAILURES[failure](discovery, check)
+    assert check.ended and not discovery.list_queries()[0].peer.may_reveal_restart
     assert (
-        registry.events() == []
-        and registry.logged("discovery_lost") == 0
-        and len(registry.watches()) == 2
+        discovery.events() == []
+        and discovery.logged("discovery_lost") == 0
+        and len(discovery.watches()) == 2
     )
-    registry.answer_whole(LARGE)
-    FAILURES[failure](registry, registry.check())
-    assert not registry.wholes()  # counted anew
+    discovery.send_complete_list(LARGE)
+    FAILURES[failure](discovery, discovery.wait_for_check())
+    assert not discovery.list_queries()  # the count was reset
 
 
-def test_a_whole_list_with_a_spoilt_entry_is_asked_for_again_at_the_next_check():
-    registry = Registry(LARGE)
-    registry.discovery.check_complete_list()
-    spoilt = orjson.dumps(
-        changes(
+def test_a_complete_list_with_an_invalid_entry_is_requested_again_at_the_next_check():
+    discovery = SimulatedDiscovery(LARGE)
+    discovery.client.check_complete_list()
+    invalid = orjson.dumps(
+        update(
             2,
             listed_server("s1", "odd"),
             *(listed_server(f"s{k}") for k in range(2, LARGE)),
-            whole=True,
+            complete=True,
         )
     )
     for _ in range(2):
-        (connection,) = registry.wholes()
-        feed_bytes(connection, head(f"Content-Length: {len(spoilt)}") + spoilt)
-        registry.pass_time(3000)
+        (connection,) = discovery.list_queries()
+        feed_bytes(connection, head(f"Content-Length: {len(invalid)}") + invalid)
+        discovery.pass_time(3000)
     assert (
-        registry.count("bad_entries") == 1 and not registry.wholes()
-    )  # the same words again tell nothing
-    assert registry.checks()
+        discovery.count("bad_entries") == 1 and not discovery.list_queries()
+    )  # the same bytes again are not decoded
+    assert discovery.checks()
 
 
-def test_two_checks_are_never_under_way():
-    registry = Registry(LARGE, discovery_check_interval_ms=500.0, discovery_bytes_per_s=1000.0)
+def test_two_checks_are_never_in_flight():
+    discovery = SimulatedDiscovery(
+        LARGE, discovery_check_interval_ms=500.0, discovery_bytes_per_s=1000.0
+    )
     for _ in range(25):
-        registry.pass_time(250)
-        assert len(registry.checks()) <= 1
-    assert len(registry.wholes()) == 1 and not registry.checks()  # after two silent ones
-
-
-def test_no_check_by_version_beside_a_whole_list_under_way():
-    registry = Registry(LARGE)
-    registry.discovery.check_complete_list()
-    registry.pass_time(2000)
-    feed_bytes(registry.wholes()[0], CHUNKED)  # not silent
-    registry.pass_time(2000)
-    assert registry.wholes() and not registry.checks()
-
-
-def test_a_check_ends_with_a_move_and_goes_on_at_the_new_address():
-    registry = Registry(LARGE)
-    check = registry.check()
-    registry.discovery.set_address(("127.0.0.2", 8500))
-    assert check.ended and not registry.checks() and registry.discovery.failed_checks == 0
-    registry.answer_whole(LARGE)
-    registry.grant_watches()
-    assert registry.check().address == ("127.0.0.2", 8500)
-
-
-def test_a_list_that_shrinks_below_the_bound_is_asked_for_whole_again():
-    registry = Registry(LARGE)
-    feed_bytes(registry.check(), CHUNKED + EMPTY)
-    registry.discovery.check_complete_list()
-    registry.answer_whole(SMALL, rev=2)
+        discovery.pass_time(250)
+        assert len(discovery.checks()) <= 1
+    assert len(discovery.list_queries()) == 1 and not discovery.checks()  # after two silent ones
+
+
+def test_no_check_by_version_while_a_complete_list_is_in_flight():
+    discovery = SimulatedDiscovery(LARGE)
+    discovery.client.check_complete_list()
+    discovery.pass_time(2000)
+    feed_bytes(discovery.list_queries()[0], CHUNKED)  # not silent
+    discovery.pass_time(2000)
+    assert discovery.list_queries() and not discovery.checks()
+
+
+def test_a_check_ends_at_an_address_change_and_the_next_goes_to_the_new_address():
+    discovery = SimulatedDiscovery(LARGE)
+    check = discovery.wait_for_check()
+    discovery.client.set_address(("127.0.0.2", 8500))
+    assert check.ended and not discovery.checks() and discovery.client.failed_checks == 0
+    discovery.send_complete_list(LARGE)
+    discovery.establish_watches()
+    assert discovery.wait_for_check().address == ("127.0.0.2", 8500)
+
+
+def test_a_list_that_shrinks_below_the_limit_is_requested_completely_again():
+    discovery = SimulatedDiscovery(LARGE)
+    feed_bytes(discovery.wait_for_check(), CHUNKED + KEEP_ALIVE)
+    discovery.client.check_complete_list()
+    discovery.send_complete_list(SMALL, rev=2)
     for _ in range(3):
-        registry.pass_time(3000)
-        assert not registry.checks()
-        registry.answer_whole(SMALL, rev=2)
+        discovery.pass_time(3000)
+        assert not discovery.checks()
+        discovery.send_complete_list(SMALL, rev=2)
 
 
-def test_whole_lists_go_on_at_a_tenth_of_the_budget_at_most():
-    registry = Registry(LARGE)
-    size = registry.discovery.pace.size
-    asked = []
+def test_large_complete_lists_take_at_most_a_tenth_of_the_budget():
+    discovery = SimulatedDiscovery(LARGE)
+    size = discovery.client.pace.size
+    requested_ms = []
     for _ in range(1000):
-        registry.pass_time(250)
-        for check in registry.checks():
-            feed_bytes(check, CHUNKED + EMPTY)
-        if registry.wholes():
-            asked.append(registry.hub.time)
-            registry.answer_whole(LARGE)
-    assert len(asked) > 2
-    for before, after in zip([1000.0, *asked], asked, strict=False):
+        discovery.pass_time(250)
+        for check in discovery.checks():
+            feed_bytes(check, CHUNKED + KEEP_ALIVE)
+        if discovery.list_queries():
+            requested_ms.append(discovery.event_loop.time)
+            discovery.send_complete_list(LARGE)
+    assert len(requested_ms) > 2
+    for before, after in zip([1000.0, *requested_ms], requested_ms, strict=False):
         assert size / 1.3 <= after - before <= 1.5 * size / 1.3 + 3250
 
 
-def test_the_bound_and_the_period_are_those_of_the_budget():
+def test_the_size_limit_and_the_period_follow_from_the_budget():
     pace = CompleteListPace(Limits(), 7)
-    for size, affordable in ((0, True), (BOUND, True), (BOUND + 1, False)):
+    for size, affordable in (
+        (0, True),
+        (MAX_AFFORDABLE_BYTES, True),
+        (MAX_AFFORDABLE_BYTES + 1, False),
+    ):
         pace.record_list(size, 0.0)
         assert pace.affordable() == affordable == pace.due(1.0)
     pace.record_list(862_000, 0.0)
@@ -332,44 +341,44 @@
     assert not pace.due(663_000.0) and pace.due(1.5 * 663_077)
 
 
-def test_assigners_draw_their_times_apart_and_each_the_same_again():
-    def times(seed):
+def test_request_times_differ_between_assigners_and_are_reproducible():
+    def due_times(seed):
         pace = CompleteListPace(Limits(), seed)
         return [(pace.record_list(862_000, 0.0), pace.due_at_ms)[1] for _ in range(3)]
 
-    drawn = [times(seed) for seed in range(780)]
-    assert drawn == [times(seed) for seed in range(780)]
-    assert len({at for each in drawn for at in each}) == 3 * 780
-    firsts = sorted(each[0] for each in drawn)
-    assert max(later - sooner for sooner, later in pairwise(firsts)) < 0.05 * (
-        firsts[-1] - firsts[0]
+    drawn = [due_times(seed) for seed in range(780)]
+    assert drawn == [due_times(seed) for seed in range(780)]
+    assert len({due_ms for assigner in drawn for due_ms in assigner}) == 3 * 780
+    first_times = sorted(assigner[0] for assigner in drawn)
+    assert max(later - earlier for earlier, later in pairwise(first_times)) < 0.05 * (
+        first_times[-1] - first_times[0]
     )
 
 
-def test_the_assigners_seed_is_the_draws():
-    assert Registry(LARGE).discovery.pace.seed == 0x8C1F
+def test_the_draws_use_the_assigners_seed():
+    assert SimulatedDiscovery(LARGE).client.pace.seed == 0x8C1F
 
 
-def test_a_drain_that_the_watches_hold_back_is_known_within_six_seconds(world):
-    """On sockets: empty lines on the watches, the drain only on the check, though it was listed
-    after the last one."""
+def test_a_drain_that_the_watches_withhold_is_known_within_six_seconds(world):
+    """On sockets: the watches bring only keep-alive lines. The drain is listed after the previous
+    check and comes only with the next one."""
     world.start()
     watches = world.listed(*(f"s{k}" for k in range(LARGE)))
     world.logged("endpoint_list", version=1)
     world.discovery.listener.settimeout(0.1)
-    began, check = time.monotonic(), None
+    started_s, check = time.monotonic(), None
     while check is None:
         for watch in watches:
-            watch.send(EMPTY)
+            watch.send(KEEP_ALIVE)
         try:
             check = world.discovery.next("watch")
         except TimeoutError:
-            assert time.monotonic() - began < 6.0
+            assert time.monotonic() - started_s < 6.0
     world.discovery.listener.settimeout(PATIENCE)
     assert check.path.endswith("since=1")
-    check.send(CHUNKED, drain(2))
+    check.send(CHUNKED, draining_update(2))
     assert world.logged("endpoint_list", version=2)["scope"] == "changes"
-    assert time.monotonic() - began < 6.0
+    assert time.monotonic() - started_s < 6.0
     assert check.ended()
     world.discovery.next("whole").send(CHUNKED, chunk(world.listing("s2", rev=2)), b"0\r\n\r\n")
     assert (
--- a/tests/net/test_wire_endpoint_list.py
+++ b/tests/net/test_wire_endpoint_list.py
@@ -1,14 +1,14 @@
-"""Discovery's endpoint list, decoded."""
+"""Decoding of discovery's endpoint list."""
 
 from helpers import complete_list, listed_server, make_assigner
 
 
-def test_a_step_of_the_system_clock_is_no_restart():
+def test_a_step_of_the_system_clock_does_not_look_like_a_restart():
     assigner, _ = make_assigner()
-    lists = assigner.messages.endpoint_list
-    first = lists.decode(complete_list("s1")).event.entries[0]
+    decoder = assigner.messages.endpoint_list
+    first = decoder.decode(complete_list("s1")).event.entries[0]
     entry = {"rev": 2, "all": False, "targets": [listed_server("s1", boot_ms=5_500)]}
-    started = lists.decode(entry).event.entries[0].started_ms
-    lists.wall_offset_ms = lambda: 90_000.0
+    started = decoder.decode(entry).event.entries[0].started_ms
+    decoder.wall_offset_ms = lambda: 90_000.0
     assert (first.started_ms, started) == (None, 500.0)
-    assert lists.decode(entry).event.entries[0].started_ms == started
+    assert decoder.decode(entry).event.entries[0].started_ms == started
