--- a/tests/test_cold_figures.py
+++ b/tests/test_cold_figures.py
@@ -15,7 +15,7 @@
     suspend_reconciliation,
     take_pending_events,
 )
-from test_other_customers import FULL, run
+from test_unexpected_settings import FULL, run
 
 from havendyke import config
 from havendyke import interface as core
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 from havendyke.net.resp import encode
 
 
-def written(tmp_path, raw):
+def write_config(tmp_path, raw):
     path = tmp_path / "config.json"
     path.write_text(raw if isinstance(raw, str) else json.dumps(raw))
     return str(path)
@@ -49,24 +49,28 @@
         (raw_config(), {"ROUTER_NAME": "n2"}, "name"),
     ],
 )
-def test_an_error_names_the_wrong_key(tmp_path, raw, environ, key):
+def test_an_error_names_the_invalid_key(tmp_path, raw, environ, key):
     with pytest.raises(ConfigError, match=key):
-        load_config({"ROUTER_CONFIG": written(tmp_path, raw), **environ})
+        load_config({"ROUTER_CONFIG": write_config(tmp_path, raw), **environ})
 
 
 @pytest.mark.parametrize("environ", [{}, {"ROUTER_CONFIG": "/nonexistent/config.json"}])
-def test_a_missing_configuration_ends_with_a_line_and_status_2(environ):
-    done = subprocess.run(
+def test_a_missing_configuration_exits_with_one_line_and_status_2(environ):
+    completed = subprocess.run(
         [sys.executable, "-m", "havendyke"],
         env={"PATH": os.environ["PATH"], **environ},
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2 and "ROUTER_CONFIG" in done.stderr and done.stderr.count("\n") == 1
+    assert (
+        completed.returncode == 2
+        and "ROUTER_CONFIG" in completed.stderr
+        and completed.stderr.count("\n") == 1
+    )
 
 
 @pytest.mark.parametrize(
-    "raw, said, status",
+    "raw, output, status",
     [
         (raw_config(known=complete_list("s1")), "well", 0),
         (raw_config(known={"rev": 1, "all": True}), "targets", 2),
@@ -77,33 +81,33 @@
         ),
     ],
 )
-def test_a_configuration_can_be_checked_without_starting(tmp_path, capsys, raw, said, status):
-    assert main(["--check", "--config", written(tmp_path, raw)]) == status
-    assert said in "".join(capsys.readouterr())
+def test_a_configuration_can_be_checked_without_starting(tmp_path, capsys, raw, output, status):
+    assert main(["--check", "--config", write_config(tmp_path, raw)]) == status
+    assert output in "".join(capsys.readouterr())
 
 
 @pytest.mark.parametrize(
-    "told, instances", [({}, 1), ({"balancers": 5}, 5), ({"balancers": 1024.0}, 1024)]
+    "counts, controller_count", [({}, 1), ({"balancers": 5}, 5), ({"balancers": 1024.0}, 1024)]
 )
-def test_counts_may_be_left_out_or_written_with_a_point(tmp_path, told, instances):
-    # The deployments' files write 119.0 for a table of 119 connections: the first text refused to
-    # start for it.
+def test_counts_may_be_omitted_or_written_as_floats(tmp_path, counts, controller_count):
+    # Deployments write 119.0 for a table of 119 connections; if only integers were accepted, the
+    # assigner would not start there.
     family = SETTINGS["familyInfo"] | {
         "smallestConnTable": 119.0,
         "keyRanges": 1241.0,
         "dataPlaneSize": 2000.0,
     }
     raw = raw_config(
-        settings=SETTINGS | {"familyInfo": family} | told,
+        settings=SETTINGS | {"familyInfo": family} | counts,
         known=complete_list(*(f"s{k}" for k in range(3000))),
     )
-    config = load_config({"ROUTER_CONFIG": written(tmp_path, raw)})
+    config = load_config({"ROUTER_CONFIG": write_config(tmp_path, raw)})
     assert (
         config.settings.controller_count,
         config.settings.slice_count,
         config.wire_names.proxy_count,
     ) == (
-        instances,
+        controller_count,
         1241,
         2000,
     )
@@ -111,10 +115,10 @@
 
 
 @pytest.mark.parametrize("sockets", [48, 128, 1024, 65536])
-def test_limits_leave_descriptors_and_memory_free(tmp_path, sockets):
+def test_limits_leave_descriptors_and_memory_in_reserve(tmp_path, sockets):
     config = load_config(
         {
-            "ROUTER_CONFIG": written(
+            "ROUTER_CONFIG": write_config(
                 tmp_path, raw_config(limits={"sockets": sockets, "memory_mb": 64})
             )
         }
@@ -135,40 +139,41 @@
     )
 
 
-def test_the_program_answers_without_peers_prints_counters_and_ends_on_sigterm(tmp_path):
-    # Its address still belongs to another for a while, as after a restart.
-    lingering = socket.create_server(("127.0.0.1", 0))
-    port = lingering.getsockname()[1]
+def test_the_program_replies_without_peers_prints_counters_and_ends_on_sigterm(tmp_path):
+    # At first another socket holds the address, as after a restart.
+    previous_listener = socket.create_server(("127.0.0.1", 0))
+    port = previous_listener.getsockname()[1]
     raw = raw_config(
         listen=f"127.0.0.1:{port}", discovery="127.0.0.1:1", distributor={"address": "127.0.0.1:1"}
     )
     process = subprocess.Popen(
-        [sys.executable, "-m", "havendyke", "--config", written(tmp_path, raw)],
+        [sys.executable, "-m", "havendyke", "--config", write_config(tmp_path, raw)],
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
     )
     try:
         for line in process.stderr:
             if b'"listen_failed"' in line:
-                lingering.close()
+                previous_listener.close()
             if b'"listening"' in line:
                 break
-        with socket.create_connection(("127.0.0.1", port), timeout=10) as asking:
-            asking.sendall(encode("PING"))
-            assert asking.recv(100) == encode("PONG")
+        with socket.create_connection(("127.0.0.1", port), timeout=10) as client:
+            client.sendall(encode("PING"))
+            assert client.recv(100) == encode("PONG")
             process.send_signal(signal.SIGUSR1)
             assert json.loads(process.stdout.readline())["pings"] == 1
             process.send_signal(signal.SIGTERM)
-            out, _ = process.communicate(timeout=10)
-        assert process.returncode == 0 and json.loads(out)["event"] == "counters"
+            output, _ = process.communicate(timeout=10)
+        assert process.returncode == 0 and json.loads(output)["event"] == "counters"
     finally:
-        lingering.close()
+        previous_listener.close()
         process.kill()
 
 
-def settings(**parts):
+def changed_settings(**changes):
     return SETTINGS | {
-        k: SETTINGS.get(k, {}) | v if isinstance(v, dict) else v for k, v in parts.items()
+        key: SETTINGS.get(key, {}) | value if isinstance(value, dict) else value
+        for key, value in changes.items()
     }
 
 
@@ -176,17 +181,17 @@
     "raw, key",
     [
         *(
-            (settings(familyInfo={key: value}), key)
+            (changed_settings(familyInfo={key: value}), key)
             for key in ("pendingMax", "channelRate", "overhead", "pushDelay", "interval")
             for value in (-1, 1e30, "1", True, 10**40)
         ),
         *(
-            (settings(obligations={key: value}), key)
+            (changed_settings(obligations={key: value}), key)
             for key in ("cold", "coldFrom", "overloadFactor")
             for value in (-1, 1e30, [1])
         ),
         *(
-            (settings(obligations={"overloadFactor": value}), "overloadFactor")
+            (changed_settings(obligations={"overloadFactor": value}), "overloadFactor")
             for value in (0, 0.5, 0.999)
         ),
         *(
@@ -200,16 +205,16 @@
                 ("window", 1e30),
             )
         ),
-        (settings(weightKind=1), "weightKind"),
-        (settings(registryMode="pull"), "registryMode"),
-        (settings(localities=["a", "a"]), "localities"),
-        (settings(localities=["a", 7]), "localities"),
-        (settings(requestClasses=[5]), "requestClasses"),
-        (settings(familyInfo={"classOwnZone": [1]}), "classOwnZone"),
-        (settings(limits={"connectTimeout": 0}), "connectTimeout"),
+        (changed_settings(weightKind=1), "weightKind"),
+        (changed_settings(registryMode="pull"), "registryMode"),
+        (changed_settings(localities=["a", "a"]), "localities"),
+        (changed_settings(localities=["a", 7]), "localities"),
+        (changed_settings(requestClasses=[5]), "requestClasses"),
+        (changed_settings(familyInfo={"classOwnZone": [1]}), "classOwnZone"),
+        (changed_settings(limits={"connectTimeout": 0}), "connectTimeout"),
     ],
 )
-def test_an_error_names_the_key_that_is_out_of_bounds(raw, key):
+def test_an_error_names_the_key_with_an_out_of_range_value(raw, key):
     with pytest.raises(ConfigError, match=key):
         parse_config(json.dumps(raw_config(settings=raw)).encode(), "file", {})
 
@@ -221,8 +226,8 @@
         parse_config(raw, "file", {})
 
 
-def test_keys_that_nothing_reads_may_have_any_value():
-    odd = settings(obligations={"drainGrace": "soon"}, worthBy=[], prices={"x": None})
+def test_unknown_keys_may_have_any_value():
+    unknown = changed_settings(obligations={"drainGrace": "soon"}, worthBy=[], prices={"x": None})
     parse_config(
-        json.dumps(raw_config(settings=odd, limits={"cores": "many"})).encode(), "file", {}
+        json.dumps(raw_config(settings=unknown, limits={"cores": "many"})).encode(), "file", {}
     )
--- a/tests/test_config_of_bf4fd60.py
+++ b/tests/test_config_of_bf4fd60.py
@@ -1,7 +1,7 @@
-"""The configuration is read, and refused, as at commit bf4fd60, which wrote the outcomes.
+"""Configuration files are accepted and rejected as at commit bf4fd60, which recorded the outcomes.
 
-`config_outcomes.jsonl` has a line for each changed file: the text of the refusal, or the values
-that differ from those of the unchanged file, by their place.
+`config_outcomes.jsonl` has a line for each changed file: the text of the error, or the values that
+differ from those of the unchanged file, by their position.
 """
 
 import copy
@@ -26,69 +26,71 @@
             yield from paths(raw[key], (*before, key))
 
 
-def changed(path, value):
+def changed_file(path, value):
     raw = copy.deepcopy(GIVEN["base"])
-    spot = raw
+    container = raw
     for key in path[:-1]:
-        spot = spot[key]
+        container = container[key]
     if value is MISSING:
-        del spot[path[-1]]
+        del container[path[-1]]
     else:
-        spot[path[-1]] = value
+        container[path[-1]] = value
     return json.dumps(raw)
 
 
-def texts():
+def file_texts():
     yield from GIVEN["texts"]
     for path in paths(GIVEN["base"]):
         for value in [MISSING, *GIVEN["values"]]:
-            yield changed(path, value)
+            yield changed_file(path, value)
 
 
-def request_class(made):
-    objective, deadline, idempotency, *others = astuple(made)
+def request_class_values(request_class):
+    objective, deadline, idempotency, *others = astuple(request_class)
     return [objective, deadline, IDEMPOTENCY[idempotency], *others]
 
 
-def wire_names(made):
+def wire_name_values(names):
     return {
-        "zones": made.zones,
-        "kinds": made.machine_kinds,
-        "classes": made.request_classes,
-        "reports": made.has_load_reports,
-        "proxies": made.proxy_count,
+        "zones": names.zones,
+        "kinds": names.machine_kinds,
+        "classes": names.request_classes,
+        "reports": names.has_load_reports,
+        "proxies": names.proxy_count,
     }
 
 
 def outcome(text, environ):
     try:
-        made = config.parse_config(text.encode(), "file", environ)
+        parsed = config.parse_config(text.encode(), "file", environ)
     except config.ConfigError as error:
         return ["refused", str(error)]
-    settings = [getattr(made.settings, field.name) for field in fields(made.settings)]
+    settings = [getattr(parsed.settings, field.name) for field in fields(parsed.settings)]
     values = [
-        made.name,
-        made.listen,
-        made.discovery,
-        made.relay,
-        made.seed,
-        made.known,
-        [request_class(one) for one in made.settings.request_classes],
+        parsed.name,
+        parsed.listen,
+        parsed.discovery,
+        parsed.relay,
+        parsed.seed,
+        parsed.known,
+        [request_class_values(each) for each in parsed.settings.request_classes],
         settings[1:],
-        wire_names(made.wire_names),
-        list(astuple(made.limits)),
+        wire_name_values(parsed.wire_names),
+        list(astuple(parsed.limits)),
     ]
     return ["read", json.loads(json.dumps(values))]
 
 
 def differences(values, unchanged):
-    """The values that differ, by place; of settings and limits, place by place again."""
-    made = []
-    for place, (value, before) in enumerate(zip(values, unchanged, strict=True)):
+    """The values that differ, by position; of settings and limits, the positions within them."""
+    differing = []
+    for position, (value, before) in enumerate(zip(values, unchanged, strict=True)):
         if value != before or type(value) is not type(before):
-            pairs = enumerate(zip(value, before, strict=True)) if place in (7, 9) else ()
-            made.append([place, [[n, a] for n, (a, b) in pairs if a != b] if pairs else value])
-    return made
+            pairs = enumerate(zip(value, before, strict=True)) if position in (7, 9) else ()
+            differing.append(
+                [position, [[n, a] for n, (a, b) in pairs if a != b] if pairs else value]
+            )
+    return differing
 
 
 def test_the_unchanged_file_is_read_to_the_same_values():
@@ -96,15 +98,15 @@
 
 
 @pytest.mark.parametrize("environ, expected", GIVEN["environments"])
-def test_variables_are_compared_with_the_same_words(environ, expected):
+def test_variables_are_compared_with_the_same_results(environ, expected):
     assert outcome(json.dumps(GIVEN["base"]), environ) == expected
 
 
-def test_each_changed_file_is_read_or_refused_as_before():
+def test_each_changed_file_is_accepted_or_rejected_as_before():
     expected = (DATA / "config_outcomes.jsonl").read_text().splitlines()
-    given = list(texts())
-    assert len(given) == len(expected)
-    for text, line in zip(given, expected, strict=True):
-        kind, made = outcome(text, {})
-        seen = made if kind == "refused" else differences(made, GIVEN["whole"][1])
-        assert seen == json.loads(line), text
+    given_texts = list(file_texts())
+    assert len(given_texts) == len(expected)
+    for text, line in zip(given_texts, expected, strict=True):
+        kind, result = outcome(text, {})
+        actual = result if kind == "refused" else differences(result, GIVEN["whole"][1])
+        assert actual == json.loads(line), text
--- a/tests/test_other_customers.py
+++ b/tests/test_unexpected_settings.py
@@ -1,5 +1,5 @@
-"""Settings of deployments that nobody has seen: a default, or one line that names the key; never a
-traceback, at the start or in the first reconciliations."""
+"""Settings of unknown deployments: each value has a default or an error of one line that names the
+key, and never leads to a traceback at startup or in the first reconciliations."""
 
 import copy
 
@@ -13,7 +13,7 @@
 from havendyke import interface as core
 from havendyke.net.assigner import Assigner
 
-# A deployment as the page of the wire shows one, with all keys.
+# The settings of a deployment with all keys that the protocol documents.
 FULL = {
     "balancers": 5,
     "me": 0,
@@ -141,13 +141,13 @@
 
 
 def key_in(container, key):
-    """A path's key as one of this container: JSON knows no numbers as keys of an object."""
+    """A path's key for this container: keys of JSON objects are strings."""
     return str(key) if isinstance(container, dict) else key
 
 
 def changed(changes):
-    """FULL with the changes, which share nothing with it or with what was drawn: other examples get
-    the same values."""
+    """FULL with the changes, as a deep copy: neither FULL nor the drawn values may change, as later
+    examples share them."""
     document = copy.deepcopy(FULL)
     for path, value in changes:
         container = document
@@ -165,19 +165,21 @@
 
 
 def run(wire_settings):
-    """The first reconciliations of an assigner with the settings; the error's text where they are
-    not accepted."""
+    """Runs the first reconciliations of an assigner with the settings; returns the error's text if
+    they are rejected."""
     raw = raw_config(settings=wire_settings, known=complete_list("s1", "s2", "s3"))
     try:
-        ready = config.parse_config(orjson.dumps(raw), "a test", {})
+        parsed = config.parse_config(orjson.dumps(raw), "a test", {})
     except config.ConfigError as error:
         return str(error)
-    assigner = Assigner(ready, FakeEventLoop())
+    assigner = Assigner(parsed, FakeEventLoop())
     assigner.start()
     registry = assigner.registry
-    piece = [core.SliceAssignment(registry.slice(0), True)] if ready.settings.slice_count else []
+    assignments = (
+        [core.SliceAssignment(registry.slice(0), True)] if parsed.settings.slice_count else []
+    )
     for events in (
-        piece
+        assignments
         + [core.ProxyConnected(registry.proxy(k), 0, 2.0, True) for k in range(3)]
         + [core.PushChannelStatus(True)],
         [core.ServerLoadReport(s, 0, 9, 3, 50.0, 500.0) for s in list(registry.servers.values())],
@@ -201,7 +203,7 @@
     assert error is None or "\n" not in error and len(error) < 400
 
 
-def test_a_change_to_one_example_is_not_seen_in_the_next():
+def test_changes_to_one_example_do_not_affect_the_next():
     shared_object, shared_list = {}, [[]]
     changes = [
         (("kinds",), shared_object),
@@ -219,26 +221,26 @@
 
 
 @pytest.mark.parametrize("value", [{}, {"x": 1}])
-def test_a_number_in_a_path_names_a_key_of_an_object_as_json_has_it(value):
+def test_a_number_in_a_path_is_a_string_key_in_an_object(value):
     keyed = changed([(("kinds",), value), (("kinds", 0), {}), (("kinds", 0, "x"), 5)])
     assert keyed["kinds"] == value | {"0": {"x": 5}} and orjson.loads(orjson.dumps(keyed)) == keyed
-    dropped = changed(
+    removed = changed(
         [(("kinds",), value), (("kinds", 0), 1), (("kinds", 0), REMOVED), (("kinds", 1), REMOVED)]
     )
-    assert dropped["kinds"] == value
+    assert removed["kinds"] == value
 
 
 @pytest.mark.parametrize(
     "path", sorted(paths(FULL), key=str), ids=lambda path: ".".join(map(str, path))
 )
-def test_each_key_that_is_missing_or_has_no_meaning_is_named_or_has_a_default(path):
+def test_each_missing_or_invalid_key_is_named_in_an_error_or_has_a_default(path):
     for value in (REMOVED, None, 0, -1, 1e30, "odd", [], {}):
         error = run(changed([(path, value)]))
-        # The error names this key, an object around it, or what an empty object lacks.
-        lacks = value == {} and "is missing" in (error or "")
+        # The error names this key, a parent of it, or a missing key of an empty object.
+        is_missing_key = value == {} and "is missing" in (error or "")
         assert (
             error is None
             or any(str(key) in error for key in path)
             or key_of(path) in error
-            or lacks
+            or is_missing_key
         ), error
