--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration while it runs: addresses move, what stands goes on."""
+"""Reloads of the configuration: new addresses of peers, with established connections continuing."""
 
 import json
 import signal
@@ -31,16 +31,16 @@
 from havendyke import config
 from havendyke import interface as core
 
-NEW = {"distributor": {"address": "127.0.0.2:6400"}, "discovery": "127.0.0.2:8500"}
+NEW_ADDRESSES = {"distributor": {"address": "127.0.0.2:6400"}, "discovery": "127.0.0.2:8500"}
 
 
-def reload(assigner, **more):
-    assigner.reload(config.read_config(raw_config(**NEW | more), {}))
+def reload(assigner, **changes):
+    assigner.reload(config.read_config(raw_config(**NEW_ADDRESSES | changes), {}))
 
 
 @pytest.fixture
 def running(tmp_path):
-    """The program itself; what writes its file; what waits for a line of its log."""
+    """The running program, a function that writes its file and one that waits for a log event."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = f"127.0.0.1:{free.getsockname()[1]}"
 
@@ -68,66 +68,66 @@
         process.communicate()
 
 
-def at(hub, name, host):
-    """The open connections of these peers at an address, brought up."""
-    made = [c for c in hub.made if c.peer.name == name and not c.ended and c.address[0] == host]
-    for c in made:
-        if c.transport is None:
-            c.connection_made(Transport())
-    return made
+def connections_at(event_loop, name, host):
+    """Establishes and returns the open connections to a kind of peer at an address."""
+    connections = [
+        c for c in event_loop.made if c.peer.name == name and not c.ended and c.address[0] == host
+    ]
+    for connection in connections:
+        if connection.transport is None:
+            connection.connection_made(Transport())
+    return connections
 
 
 @pytest.mark.parametrize("times", [1, 2])
-def test_news_from_the_new_address_stands_before_the_old_goes_and_nobody_has_left(times):
-    assigner, hub = make_assigner()
+def test_the_watch_at_the_new_address_is_established_before_the_old_one_is_closed(times):
+    assigner, event_loop = make_assigner()
     open_watch_stream(
-        suspend_reconciliation(assigner), hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY
+        suspend_reconciliation(assigner), event_loop, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY
     )
     take_pending_events(assigner)
-    (old,) = at(hub, "relay_watch", "127.0.0.1")
+    (old,) = connections_at(event_loop, "relay_watch", "127.0.0.1")
     if times == 2:
-        reload(
-            assigner, distributor={"address": "127.0.0.3:6400"}
-        )  # and again, in the middle of it
+        reload(assigner, distributor={"address": "127.0.0.3:6400"})  # two changes in a row
     reload(assigner)
     feed(old, [PUSH_ACKNOWLEDGED])
     assert not old.ended
-    (new,) = at(hub, "relay_watch", "127.0.0.2")
+    (new,) = connections_at(event_loop, "relay_watch", "127.0.0.2")
     feed(new, [SUCCESS_REPLY, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY])
-    hub.pass_time(100)
+    event_loop.pass_time(100)
     assert not old.ended
-    hub.pass_time(1000)
-    hub.run()
-    assert [c for c in hub.made if c.peer.name == "relay_watch" and not c.ended] == [new]
+    event_loop.pass_time(1000)
+    event_loop.run()
+    assert [c for c in event_loop.made if c.peer.name == "relay_watch" and not c.ended] == [new]
     assert [type(e).__name__ for e in take_pending_events(assigner)] == ["PushAcknowledged"]
     feed(new, [PROXY_DISCONNECTED])
     assert [type(e).__name__ for e in take_pending_events(assigner)] == ["ProxyDisconnected"]
 
 
-def test_an_old_address_that_closes_first_takes_nobody_along():
-    assigner, hub = make_assigner()
+def test_no_proxy_is_disconnected_if_the_old_watch_closes_first():
+    assigner, event_loop = make_assigner()
     open_watch_stream(
-        suspend_reconciliation(assigner), hub, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY
+        suspend_reconciliation(assigner), event_loop, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY
     )
     take_pending_events(assigner)
-    (old,) = at(hub, "relay_watch", "127.0.0.1")
+    (old,) = connections_at(event_loop, "relay_watch", "127.0.0.1")
     reload(assigner)
     feed(
-        at(hub, "relay_watch", "127.0.0.2")[0],
+        connections_at(event_loop, "relay_watch", "127.0.0.2")[0],
         [SUCCESS_REPLY, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY],
     )
-    hub.pass_time(100)
+    event_loop.pass_time(100)
     old.close("ended")
-    hub.pass_time(1000)
+    event_loop.pass_time(1000)
     assert take_pending_events(assigner) == []
 
 
 @pytest.mark.parametrize("ends", ["answered", "broken", "idle"])
-def test_a_call_under_way_ends_at_the_old_address_and_the_next_goes_to_the_new(ends):
-    assigner, hub = make_assigner()
+def test_a_call_in_flight_ends_at_the_old_address_and_the_next_goes_to_the_new(ends):
+    assigner, event_loop = make_assigner()
     relay = suspend_reconciliation(assigner).relay
     relay.order([weight_order(1, "s1")])
-    (old,) = at(hub, "relay", "127.0.0.1")
+    (old,) = connections_at(event_loop, "relay", "127.0.0.1")
     if ends == "idle":
         feed(old, [{"id": sent_orders(old)[1], "result": {"taken": 1}}])
     reload(assigner)
@@ -137,21 +137,21 @@
         feed(old, [{"id": sent_orders(old)[1], "result": {"taken": 1}}])
     elif ends == "broken":
         old.close("reset")
-        hub.pass_time(900)
-    (new,) = at(hub, "relay", "127.0.0.2")
-    hub.run()
+        event_loop.pass_time(900)
+    (new,) = connections_at(event_loop, "relay", "127.0.0.2")
+    event_loop.run()
     assert old.ended and [o["table"] for o in sent_orders(new)[0][-1]] == (
         [1, 2] if ends == "broken" else [2]
     )
 
 
-def test_the_watch_at_the_new_address_stands_before_the_old_ones_go():
-    assigner, hub = make_assigner(discovery_watch_count=1)
+def test_the_discovery_watch_at_the_new_address_is_established_before_the_old_one_is_closed():
+    assigner, event_loop = make_assigner(discovery_watch_count=1)
     suspend_reconciliation(assigner).discovery.open_watches()
-    (old,) = at(hub, "discovery", "127.0.0.1")
+    (old,) = connections_at(event_loop, "discovery", "127.0.0.1")
     feed(old, http_response({"rev": 3, "all": False, "targets": []}))
     reload(assigner)
-    whole, watch = at(hub, "discovery", "127.0.0.2")
+    list_query, watch = connections_at(event_loop, "discovery", "127.0.0.2")
     take_pending_events(assigner)
     feed(
         old,
@@ -164,24 +164,24 @@
         watch,
         http_response({"rev": 4, "all": False, "targets": [listed_server("s1", "terminating")]}),
     )
-    feed(whole, http_response(complete_list("s1", rev=4), chunked=False))
+    feed(list_query, http_response(complete_list("s1", rev=4), chunked=False))
     assert [e.scope for e in take_pending_events(assigner, core.EndpointListUpdate)] == ["complete"]
-    hub.pass_time(600)
-    hub.run()
+    event_loop.pass_time(600)
+    event_loop.run()
     assert old.ended and not watch.ended and assigner.discovery.queries == [watch.peer]
 
 
-def test_what_waits_for_a_restart_is_said():
-    assigner, hub = make_assigner()
+def test_changes_that_need_a_restart_are_logged():
+    assigner, event_loop = make_assigner()
     suspend_reconciliation(assigner)
     reload(assigner, listen="127.0.0.9:1", limits={"memory_mb": 64})
-    assert [more["after_restart"] for event, more in hub.logged if event == "reloaded"] == [
-        ["listen", "limits"]
-    ]
+    assert [
+        fields["after_restart"] for event, fields in event_loop.logged if event == "reloaded"
+    ] == [["listen", "limits"]]
 
 
 @pytest.mark.parametrize(
-    "bad, said",
+    "invalid, cause",
     [
         ("", "not JSON"),
         ('{"name":', "not JSON"),
@@ -189,52 +189,57 @@
         (raw_config(discovery="x"), "'discovery'"),
     ],
 )
-def test_a_bad_file_is_said_and_the_old_one_goes_on(tmp_path, running, bad, said):
+def test_an_invalid_file_is_logged_and_the_old_configuration_stays(
+    tmp_path, running, invalid, cause
+):
     process, write, logged = running
-    if bad is None:
+    if invalid is None:
         (tmp_path / "config.json").unlink()
     else:
-        write(bad)
+        write(invalid)
     process.send_signal(signal.SIGHUP)
-    assert said in logged("reload_refused")["cause"]
-    write(raw_config(**NEW))
+    assert cause in logged("reload_refused")["cause"]
+    write(raw_config(**NEW_ADDRESSES))
     for _ in range(3):
         process.send_signal(signal.SIGHUP)
     assert logged("reloaded")["relay"] == ["127.0.0.2", 6400] and process.poll() is None
 
 
-def whole_of(hub, host="127.0.0.1"):
-    return next(c for c in at(hub, "discovery", host) if not c.peer.follow)
+def complete_list_query(event_loop, host="127.0.0.1"):
+    return next(c for c in connections_at(event_loop, "discovery", host) if not c.peer.follow)
 
 
 @pytest.mark.parametrize("lost", ["before the look", "under the look"])
-def test_an_old_list_passed_over_beside_a_watch_is_taken_once_none_stands(lost):
-    assigner, hub = make_assigner(discovery_watch_count=1)
+def test_a_lower_version_ignored_beside_a_watch_is_applied_once_no_watch_is_left(lost):
+    assigner, event_loop = make_assigner(discovery_watch_count=1)
     discovery = suspend_reconciliation(assigner).discovery
     discovery.open_watches()
-    (watch,) = at(hub, "discovery", "127.0.0.1")
+    (watch,) = connections_at(event_loop, "discovery", "127.0.0.1")
     feed(watch, http_response({"rev": 5, "all": False, "targets": [listed_server("s1")]}))
     old = http_response(complete_list("s1", "s2", rev=2), chunked=False)
     discovery.check()
-    feed(whole_of(hub), old)
+    feed(complete_list_query(event_loop), old)
     assert discovery.version == 5
     if lost == "under the look":
         discovery.check()
-    watch.close("reset")  # discovery itself may have gone, and begun its versions anew
+    watch.close("reset")  # discovery may have restarted its versions
     if lost == "before the look":
-        hub.pass_time(400)
-    feed(whole_of(hub), old)
+        event_loop.pass_time(400)
+    feed(complete_list_query(event_loop), old)
     assert discovery.version == 2
 
 
-def test_discovery_at_a_new_address_may_have_lower_versions_while_the_old_watch_stands():
-    assigner, hub = make_assigner(discovery_watch_count=1)
+def test_discovery_at_a_new_address_may_have_lower_versions_while_the_old_watch_is_open():
+    assigner, event_loop = make_assigner(discovery_watch_count=1)
     discovery = suspend_reconciliation(assigner).discovery
     discovery.open_watches()
     feed(
-        at(hub, "discovery", "127.0.0.1")[0],
+        connections_at(event_loop, "discovery", "127.0.0.1")[0],
         http_response({"rev": 5, "all": False, "targets": [listed_server("s1")]}),
     )
     reload(assigner)
-    feed(whole_of(hub, "127.0.0.2"), http_response(complete_list("s1", "s2", rev=2), chunked=False))
+    feed(
+        complete_list_query(event_loop, "127.0.0.2"),
+        http_response(complete_list("s1", "s2", rev=2), chunked=False),
+    )
     assert discovery.version == 2
