--- a/havendyke/config/deployment.py
+++ b/havendyke/config/deployment.py
@@ -57,7 +57,7 @@
     zones: tuple[str, ...]
     machine_kinds: tuple[str, ...]
     request_classes: tuple[str, ...]
-    has_load_reports: bool  # whether collectors send load reports
+    has_load_reports: bool  # whether load reports are sent
     proxy_count: int  # 0: not stated
 
 
