--- a/benchmarks/_days.py
+++ b/benchmarks/_days.py
@@ -2,8 +2,8 @@
 and days of wild events.
 
 A seed is a day. The faults and the world around the controller are those of `fuzz.targets.core`,
-the proxies those of `havendyke.lab.plane`; nothing here judges what is ordered. What the bench's
-wire does not carry (see `_wire`) does not happen on these days."""
+the proxies those of `havendyke.lab.data_plane`; nothing here judges what is ordered. What the
+bench's wire does not carry (see `_wire`) does not happen on these days."""
 
 import hashlib
 from collections.abc import Callable, Sequence
@@ -31,12 +31,12 @@
 class NoRules:
     """Stands in for the rules that judge a fuzzed day: a recorded day is judged by nobody."""
 
-    breaches = ()
+    violations = ()
 
-    def told(self, *_: object) -> None:
+    def observe_list(self, *_: object) -> None:
         """Takes no note."""
 
-    reached = look = told
+    set_channel_available = check = observe_list
 
 
 def drawn_settings(
@@ -152,12 +152,14 @@
         """Requests a second that the proxies send to each server."""
         if self.settings.slice_count:
             return super().brought()
-        views, brought = self.plane.joined(), {}
+        views, brought = self.plane.connected_proxies(), {}
         each = self.load * USUAL * self.count / max(1, len(views))
         for view in views:
-            for table in view.bound:
-                for server, part in view.pick(table).items():
-                    brought[server] = brought.get(server, 0.0) + part * each / len(view.bound)
+            for table in view.bound_tables:
+                for server, part in view.traffic_shares(table).items():
+                    brought[server] = brought.get(server, 0.0) + part * each / len(
+                        view.bound_tables
+                    )
         return brought
 
     def carry_out(self, orders: Sequence[interface.Order]) -> None:
@@ -184,7 +186,7 @@
 
     def repeat(self, first: int, second: int, third: int) -> None:
         """Repeats acknowledgements and failed lists."""
-        joined = [view.proxy for view in self.plane.joined()]
+        joined = [view.proxy for view in self.plane.connected_proxies()]
         if joined:
             self.inbox.append(
                 interface.PushAcknowledged(
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -12,7 +12,7 @@
 from time import perf_counter
 
 from havendyke import interface as core
-from havendyke.lab.life import Life
+from havendyke.lab.host import AssignerHost
 from havendyke.recovery import changes, codec, records
 from havendyke.recovery.directory import StateDirectory
 from havendyke.recovery.disk import Disk
@@ -69,17 +69,17 @@
 def start(age: float | None, servers: int = 10) -> dict:
     """One start with discovery down for the whole run, a server dead and another drained before the
     cut; all servers start with the machine, cold."""
-    life = Life(raw(servers), {f"s{k}": listed(f"s{k}") for k in range(servers)})
+    life = AssignerHost(raw(servers), {f"s{k}": listed(f"s{k}") for k in range(servers)})
     w = life.start()
-    w.pass_time(3000)
-    w.registry.change(s1={"state": "terminating"})
-    w.pass_time(3000)
-    life.cut(age or 60_000.0)
-    w = life.start(discovery=False, keeps=age is not None)
-    w.refused = {1002}  # s2 does not come back
+    w.run_for(3000)
+    w.discovery.change(s1={"state": "terminating"})
+    w.run_for(3000)
+    life.crash(age or 60_000.0)
+    w = life.start(discovery=False, persist=age is not None)
+    w.refused_ports = {1002}  # s2 does not come back
     dead, begun, first, bare, longest, over = (
         "s2",
-        w.hub.time,
+        w.event_loop.time,
         None,
         {},
         0.0,
@@ -89,14 +89,14 @@
         [],
         [],
     )  # of the last 1.5 s, as the rule counts: what came to each server, what it may be sent
-    while w.hub.time - begun < 20_000.0:
-        w.pass_time(50)
-        now = w.hub.time - begun
-        if first is None and any(event == "push" for event, _ in w.hub.logged):
+    while w.event_loop.time - begun < 20_000.0:
+        w.run_for(50)
+        now = w.event_loop.time - begun
+        if first is None and any(event == "push" for event, _ in w.event_loop.logged):
             first = now
         loads = dict.fromkeys(life.entries, 0.0)
         for piece, table in w.relay.store.items():
-            open_to = {h: s for h, s in table.items() if h != dead and h not in w.relay.shut[0]}
+            open_to = {h: s for h, s in table.items() if h != dead and h not in w.relay.ejected[0]}
             bare[piece] = 0.0 if open_to else bare.get(piece, 0.0) + 50.0
             longest = max(longest, bare[piece])
             for host, share in open_to.items():
--- a/fuzz/targets/controllers.py
+++ b/fuzz/targets/controllers.py
@@ -4,7 +4,7 @@
 from havendyke import interface as core
 from havendyke.lab.controllers import ControllerGroup
 from havendyke.lab.rules import Bounds
-from havendyke.lab.traffic import Sampling
+from havendyke.lab.server_load import Sampling
 from havendyke.state import LinearCongruentialGenerator
 
 from ..draw import Draw
@@ -53,7 +53,7 @@
         chance = LinearCongruentialGenerator(seed)
         raw = [0.4 + chance.draw() for _ in range(slices)]
         demand = {k: USUAL * servers * load * part / sum(raw) for k, part in enumerate(raw)}
-        bounds = Bounds(bare=EMPTY_FOR) if self.one_owner else Bounds()
+        bounds = Bounds(empty_table_ms=EMPTY_FOR) if self.one_owner else Bounds()
         self.group = ControllerGroup(
             settings, count, servers, demand, proxies, bounds, USUAL, sampling, seed
         )
@@ -75,17 +75,19 @@
     def restart_zone(self, a, b, c):
         """All servers of a zone start anew, each controller is told at once."""
         if self.calm():
-            self.lose_zone(a % ZONES, 100.0 + b, lambda: self.group.chance.draw() * c)
+            self.lose_zone(a % ZONES, 100.0 + b, lambda: self.group.random_numbers.draw() * c)
 
     def lose_zone_for_seconds(self, a, b, c):
         """Each controller is told of the starts late."""
         if self.calm():
             lost = 2000.0 + b * 16.0
             self.calm_at += lost
-            self.lose_zone(a % ZONES, lost, lambda: 1000.0 + self.group.chance.draw() * c * 4.0)
+            self.lose_zone(
+                a % ZONES, lost, lambda: 1000.0 + self.group.random_numbers.draw() * c * 4.0
+            )
 
     def lose_zone(self, zone, span, told_after):
-        names = [machine.name for machine in self.group.machines.values() if machine.zone == zone]
+        names = [machine.name for machine in self.group.servers.values() if machine.zone == zone]
         for name in names:
             self.group.stop(name)
         self.group.after(span, lambda: self.come_back(names, told_after))
@@ -93,43 +95,45 @@
     def come_back(self, names, told_after):
         for name in names:
             self.group.start(name)
-        self.group.tell_all(
-            core.ListScope.CHANGES, [self.group.listing(name) for name in names], told_after
+        self.group.send_list_to_all(
+            core.ListScope.CHANGES, [self.group.list_entry(name) for name in names], told_after
         )
 
     def drain(self, a, b, c):
         """One server; it is back, cold, once it is empty."""
         if self.calm():
-            name = list(self.group.machines)[a % len(self.group.machines)]
-            self.group.tell_all(core.ListScope.CHANGES, [self.group.listing(name, "draining")])
+            name = list(self.group.servers)[a % len(self.group.servers)]
+            self.group.send_list_to_all(
+                core.ListScope.CHANGES, [self.group.list_entry(name, "draining")]
+            )
             self.group.after(
-                5000.0, lambda: self.come_back([name], lambda: self.group.chance.draw() * c)
+                5000.0, lambda: self.come_back([name], lambda: self.group.random_numbers.draw() * c)
             )
 
     def restart_proxy(self, a, b, c):
         number = a % self.proxies
         if number not in self.away and len(self.away) < self.proxies - 1:
             self.away.add(number)
-            self.group.part(number)
+            self.group.disconnect_proxy(number)
             self.group.after(200.0 + b * 8.0, lambda: self.rejoin(number, bool(c & 1)))
 
     def rejoin(self, number, fresh):
         self.away.discard(number)
-        self.group.join(number, fresh)
+        self.group.connect_proxy(number, fresh)
 
     def hand_over(self, a, b, c):
         running = self.group.running()
         for k in range(1 + b % 4):
             number = (a + k) % len(self.group.demand)
-            self.group.hand_over(number, running[(c + k) % len(running)])
+            self.group.reassign_slice(number, running[(c + k) % len(running)])
 
     def lose_controller(self, a, b, c):
         running = self.group.running()
         if len(running) > 1:
-            self.group.lose(running[a % len(running)])
+            self.group.lose_controller(running[a % len(running)])
 
     def repeat_list(self, a, b, c):
-        self.group.tell_all(core.ListScope.FAILED, [], lambda: c * 4.0)
+        self.group.send_list_to_all(core.ListScope.FAILED, [], lambda: c * 4.0)
 
     STEPS = (
         wait,
@@ -145,8 +149,8 @@
     )
 
     def go(self, span):
-        self.group.go(span)
-        breaches = self.group.breaches
+        self.group.run_for(span)
+        breaches = self.group.violations
         hold(not breaches, "broken:", *[str(breach) for breach in breaches[:1]])
 
 
--- a/fuzz/targets/core.py
+++ b/fuzz/targets/core.py
@@ -9,8 +9,8 @@
 import sys
 
 from havendyke import interface as core
-from havendyke.lab.plane import Plane
-from havendyke.lab.rules import Bounds, Rules
+from havendyke.lab.data_plane import DataPlane
+from havendyke.lab.rules import Bounds, RuleChecker
 from havendyke.registry import ObjectRegistry
 from havendyke.state import LinearCongruentialGenerator
 
@@ -111,15 +111,16 @@
             sizes_stated=bool(flags & 128),
         )
         bounds = Bounds(
-            bare=6000.0 if one_owner else 2500.0, grace=2300.0 + 2 * max(0.0, self.delay - 200.0)
+            empty_table_ms=6000.0 if one_owner else 2500.0,
+            drain_grace_ms=2300.0 + 2 * max(0.0, self.delay - 200.0),
         )
-        self.begin(ObjectRegistry(self.settings, seed), Rules(self.settings, bounds, USUAL))
+        self.begin(ObjectRegistry(self.settings, seed), RuleChecker(self.settings, bounds, USUAL))
 
     def begin(self, registry, rules):
         """The fleet as it stands at first, and all that the controller behind `registry` is told of
         it."""
         self.registry, self.rules = registry, rules
-        self.now, self.plane = 100_000.0, Plane(self.settings, self.chance.draw)
+        self.now, self.plane = 100_000.0, DataPlane(self.settings, self.chance.draw)
         self.plane.now = self.rules.now = self.now
         self.serial, self.ordinal, self.digest = 0, 0, hashlib.blake2b(digest_size=12)
         self.timers, self.later, self.reached, self.busy_till, self.reports_off = (
@@ -140,11 +141,11 @@
             core.EndpointListUpdate(core.ListScope.CACHED, []),
             self.listing(core.ListScope.COMPLETE, names),
         ]
-        self.rules.told(self.now, self.inbox[-1])
+        self.rules.observe_list(self.now, self.inbox[-1])
         for k, piece in enumerate(self.demand):
-            self.inbox += self.plane.give(piece, {names[k % len(names)]: 1.0})
+            self.inbox += self.plane.assign_slice(piece, {names[k % len(names)]: 1.0})
         for k in range(self.proxy_count):
-            self.inbox.append(self.plane.join(self.registry.proxy(k), k % 3, 20.0, True))
+            self.inbox.append(self.plane.connect(self.registry.proxy(k), k % 3, 20.0, True))
         self.next_report = self.now + 1000.0
 
     # The servers and their list
@@ -167,7 +168,7 @@
         self.after(wait, lambda: self.tell_list(event))
 
     def tell_list(self, event):
-        self.rules.told(self.now, event)
+        self.rules.observe_list(self.now, event)
         self.inbox.append(event)
 
     def up(self):
@@ -223,32 +224,34 @@
         self.list(self.listing(core.ListScope.CHANGES, struck, "ready", self.now), 300.0)
 
     def proxy(self, a, b, c):
-        view = list(self.plane.views.values())[a % self.proxy_count]
-        if view.joined:
-            if len(self.plane.joined()) > 1:
-                self.inbox.append(self.plane.part(view.proxy))
+        view = list(self.plane.proxies.values())[a % self.proxy_count]
+        if view.connected:
+            if len(self.plane.connected_proxies()) > 1:
+                self.inbox.append(self.plane.disconnect(view.proxy))
                 self.after(200.0 + b * 20, lambda: self.rejoin(view, c))
         else:
             self.rejoin(view, c)
 
     def rejoin(self, view, c):
-        if not view.joined:
-            self.inbox.append(self.plane.join(view.proxy, view.zone, view.rate, bool(c & 1)))
+        if not view.connected:
+            self.inbox.append(self.plane.connect(view.proxy, view.zone, view.rate, bool(c & 1)))
 
     def custody(self, a, b, c):
         pieces = list(self.demand)
         taken = [pieces[(a + k) % len(pieces)] for k in range(1 + b % max(1, len(pieces) // 4))]
-        self.inbox += [self.plane.take(p) for p in taken if p in self.plane.charge]
+        self.inbox += [
+            self.plane.unassign_slice(p) for p in taken if p in self.plane.assigned_slices
+        ]
         self.after(800.0 + c * 8, lambda: self.give_back(taken))
 
     def give_back(self, taken):
         up = self.up()
         for k, piece in enumerate(taken):
-            if piece not in self.plane.charge:
+            if piece not in self.plane.assigned_slices:
                 # Whoever had it meanwhile may have moved it; of a sole owner not so fast that
                 # writes could meet.
                 other = up[k % len(up)] if k % 2 and not self.settings.exclusive_ownership else None
-                self.inbox += self.plane.give(
+                self.inbox += self.plane.assign_slice(
                     piece, {other: 1.0} if other else self.plane.store[piece]
                 )
 
@@ -258,8 +261,8 @@
 
     def slow_channel(self, a, b, c):
         if not self.draining and self.now - self.failed_at > 6000:
-            self.plane.slow, self.slow_till = 1.0 + a / 128, self.now + b * 20.0
-            self.after(b * 20.0, lambda: setattr(self.plane, "slow", 1.0))
+            self.plane.slowdown, self.slow_till = 1.0 + a / 128, self.now + b * 20.0
+            self.after(b * 20.0, lambda: setattr(self.plane, "slowdown", 1.0))
 
     def silence(self, a, b, c):
         self.reports_off = self.now + a * 16.0
@@ -268,14 +271,14 @@
         if self.reached:
             self.reached = False
             self.inbox.append(core.PushChannelStatus(False))
-            self.rules.reached(self.now, False)
+            self.rules.set_channel_available(self.now, False)
             self.after(50.0 + a * 8, self.uncut)
 
     def uncut(self):
         if not self.reached:
             self.reached = True
             self.inbox.append(core.PushChannelStatus(True))
-            self.rules.reached(self.now, True)
+            self.rules.set_channel_available(self.now, True)
 
     def shift(self, a, b, c):
         pieces = list(self.demand)
@@ -288,7 +291,7 @@
     def repeat(self, a, b, c):
         """Answers and lists that were told before, and what nobody asked for."""
         proxies = list(self.registry.proxies.values())
-        joined = [v.proxy for v in self.plane.joined()]
+        joined = [v.proxy for v in self.plane.connected_proxies()]
         if joined:
             proxy = joined[a % len(joined)]
             serial = self.registry.controller.observed.channel.last_serial
@@ -336,10 +339,10 @@
 
     def brought(self):
         """Operations a second that the proxies send to each server."""
-        views, brought = self.plane.joined(), {}
+        views, brought = self.plane.connected_proxies(), {}
         for view in views:
-            for piece in self.plane.charge:
-                for server, part in view.pick(piece).items():
+            for piece in self.plane.assigned_slices:
+                for server, part in view.traffic_shares(piece).items():
                     brought[server] = brought.get(server, 0.0) + part * self.demand[piece] / max(
                         1, len(views)
                     )
@@ -368,7 +371,7 @@
                         core.ServerLoad(in_flight=used * 3),
                     )
                 )
-        for piece in self.plane.charge:
+        for piece in self.plane.assigned_slices:
             told += [
                 core.SliceLoadReport(piece, k, int(self.demand[piece] * share), 0, 1000.0)
                 for k, share in enumerate((0.7, 0.3)[: len(self.settings.request_classes)])
@@ -381,7 +384,7 @@
         for o in orders:
             self.digest.update(told(o).encode())
         self.react(orders)
-        self.rules.ordered(self.now, orders, self.plane)
+        self.rules.observe_orders(self.now, orders, self.plane)
 
     def react(self, orders):
         """What the world makes of one turn's orders."""
@@ -401,7 +404,7 @@
                         core.HealthCheckResult(s, w, t)
                     ),
                 )
-        self.plane.order(
+        self.plane.apply_orders(
             [
                 o
                 for o in orders
@@ -434,12 +437,12 @@
                 self.next_report += 1000.0
                 self.reports()
             self.turn()
-            self.rules.look(self.now, self.plane, self.demand)
-            hold(not self.rules.breaches, "broken:", *[str(b) for b in self.rules.breaches[:1]])
+            self.rules.check(self.now, self.plane, self.demand)
+            hold(not self.rules.violations, "broken:", *[str(b) for b in self.rules.violations[:1]])
 
     def settled(self):
         """What the decisions believe of the tables is what the store has."""
-        for piece in self.plane.charge:
+        for piece in self.plane.assigned_slices:
             hold(
                 piece.published == self.plane.store[piece],
                 "slice",
--- a/fuzz/targets/machines.py
+++ b/fuzz/targets/machines.py
@@ -5,8 +5,8 @@
 
 from havendyke import config
 from havendyke import interface as core
-from havendyke.lab.hub import feed
-from havendyke.lab.peers import ENDINGS, World
+from havendyke.lab.event_loop import feed
+from havendyke.lab.peers import CALL_OUTCOMES, Simulation
 from havendyke.net.assigner import Assigner
 from havendyke.net.deadlines import DeadlineQueue
 from havendyke.net.published_tables import apply_order, tables_match
@@ -35,19 +35,19 @@
     """One program over one world; `steps` are the methods that its target may draw."""
 
     def __init__(self, steps, before=lambda assigner: None, **limits):
-        self.world = World(
+        self.world = Simulation(
             self.make,
             {piece: {SERVERS[piece % 6]: 1.0} for piece in range(8)},
             {name: listed(name) for name in SERVERS},
             **limits,
         )
-        self.assigner, self.hub, self.steps = self.world.assigner, self.world.hub, steps
-        self.relay, self.registry, self.number = self.world.relay, self.world.registry, 0
+        self.assigner, self.hub, self.steps = self.world.assigner, self.world.event_loop, steps
+        self.relay, self.registry, self.number = self.world.relay, self.world.discovery, 0
         self.began, self.addresses, self.spoilt = self.hub.time, ADDRESSES[0], False
         self.check_retries()
         before(self.assigner)
         self.assigner.start()
-        self.world.pass_time(1500)
+        self.world.run_for(1500)
 
     def make(self, hub):
         return Assigner(config.read_config(raw_config(known=known(*SERVERS)), {}), hub)
@@ -75,25 +75,25 @@
         while not draw.over and self.hub.time - self.began < SPAN:
             step, a, b, c = draw.choice(self.steps), draw.byte(), draw.byte(), draw.byte()
             step(self, a, b, c)
-            self.world.hub.run()
+            self.world.event_loop.run()
             hold(not self.hub.counters.get("failures"), "a failure:", self.hub.logged[-3:])
         self.rest()
 
     def rest(self):
-        self.relay.ending, self.relay.down, self.registry.down = "well", False, False
-        self.world.probe_answers, self.world.refused = "well", set()
+        self.relay.call_outcome, self.relay.down, self.registry.down = "well", False, False
+        self.world.health_check_reply, self.world.refused_ports = "well", set()
         # More is said each second than a slow connection brings: it would never come to rest.
-        for peer in self.relay.live():
-            peer.flush()
+        for peer in self.relay.open_watches():
+            peer.deliver_delayed()
         self.registry.change(**{name: {"state": "in_service"} for name in SERVERS})
-        for connection in self.world.callers:
+        for connection in self.world.clients:
             connection.close("over")
-        self.world.pass_time(REST)
+        self.world.run_for(REST)
         wrong = self.world.disagreements()
         if wrong and not self.spoilt:
             # What is drawn may end just before a stream's silence is noticed: once more, and no
             # further.
-            self.world.pass_time(REST)
+            self.world.run_for(REST)
             wrong = self.world.disagreements()
         hold(not wrong, *wrong[:4])
         failed = [
@@ -128,30 +128,30 @@
     # Steps
 
     def wait(self, a, b, c):
-        self.world.pass_time((a + 1) * (1, 4, 16)[b % 3])
+        self.world.run_for((a + 1) * (1, 4, 16)[b % 3])
 
     def stand_still(self, a, b, c):
-        self.world.stand_still(a * 8.0)
-        self.world.pass_time(50)
+        self.world.stall(a * 8.0)
+        self.world.run_for(50)
 
     def ending(self, a, b, c):
-        self.relay.ending = ENDINGS[a % len(ENDINGS)]
-        self.world.pass_time(b * 4.0)
+        self.relay.call_outcome = CALL_OUTCOMES[a % len(CALL_OUTCOMES)]
+        self.world.run_for(b * 4.0)
 
     def orders(self, a, b, c):
         """Orders of its own beside the decisions': moves that a change of the list brings about."""
         self.servers(a, b, c)
-        self.world.pass_time(c)
+        self.world.run_for(c)
 
     def away(self, a, b, c):
         self.relay.down = bool(a & 1)
         for peer in self.relay.peers if b & 1 else ():
             peer.silent = peer.silent or self.relay.down
-        self.world.pass_time(c * 8.0)
+        self.world.run_for(c * 8.0)
         self.relay.down = False
 
     def cut_news(self, a, b, c):
-        live = self.relay.live()
+        live = self.relay.open_watches()
         for peer in live if a & 1 else live[:1]:
             if b % 4 == 0:
                 peer.silent = True
@@ -173,46 +173,48 @@
 
     def proxy(self, a, b, c):
         proxy = a % 6
-        if b % 4 == 0 or proxy in self.relay.joined:
-            self.relay.leaves(proxy)
+        if b % 4 == 0 or proxy in self.relay.connected_proxies:
+            self.relay.disconnect_proxy(proxy)
         if b % 4 != 1:
-            self.relay.comes(proxy)
+            self.relay.connect_proxy(proxy)
 
     def custody(self, a, b, c):
         piece = a % 8
-        self.relay.taken(piece)
+        self.relay.unassign_slice(piece)
         if b % 4 == 3:
-            self.world.pass_time(c)
+            self.world.run_for(c)
         lines = {SERVERS[b % 6]: 1.0} | ({SERVERS[c % 6]: 0.02} if c & 8 else {})
-        self.relay.gives(piece, {} if c == 255 else lines)
+        self.relay.assign_slice(piece, {} if c == 255 else lines)
 
     def again(self, a, b, c):
         """What was told is told again, or late: it must change nothing."""
-        live = self.relay.live()
+        live = self.relay.open_watches()
         if not live:
             return
         if a % 3 == 0:
-            for proxy in sorted(self.relay.joined):
-                self.relay.tell(
+            for proxy in sorted(self.relay.connected_proxies):
+                self.relay.notify(
                     "ACK", live[0], sidecar=proxy, version=(b << 8 | c) % 65536, lag_ms=1.0
                 )
-        elif a % 3 == 1 and self.relay.given:
-            self.relay.row(sorted(self.relay.given)[b % len(self.relay.given)])
+        elif a % 3 == 1 and self.relay.assigned_slices:
+            self.relay.send_table(
+                sorted(self.relay.assigned_slices)[b % len(self.relay.assigned_slices)]
+            )
         else:
-            self.relay.tell("CLOSED", sidecar=7)
-            self.relay.tell("GRANT", partition=99, yes=True)
+            self.relay.notify("CLOSED", sidecar=7)
+            self.relay.notify("GRANT", partition=99, yes=True)
 
     def late_rows(self, a, b, c):
         """A grant whose lines come late, one by one, and all behind them as well: bytes held up on
         their way."""
-        piece, live = a % 8, self.relay.live()
-        if not live or piece not in self.relay.given:
+        piece, live = a % 8, self.relay.open_watches()
+        if not live or piece not in self.relay.assigned_slices:
             return
-        self.relay.tell("GRANT", live[0], partition=piece, yes=True)
-        live[0].drip((1 + b) * 3.0)
+        self.relay.notify("GRANT", live[0], partition=piece, yes=True)
+        live[0].delay_messages((1 + b) * 3.0)
         for host, share in self.relay.store[piece].items():
-            self.relay.tell("ROW", live[0], partition=piece, host=host, share=share)
-        self.world.pass_time(c)
+            self.relay.notify("ROW", live[0], partition=piece, host=host, share=share)
+        self.world.run_for(c)
 
     def servers(self, a, b, c):
         names = [SERVERS[a % 6]] + ([SERVERS[b % 6]] if b & 8 else [])
@@ -225,11 +227,11 @@
         name = f"g{self.number}"
         self.registry.change(**{name: listed(name, ("in_service", "terminating")[a & 1])})
         if b & 1:
-            self.world.pass_time(c * 4.0)
+            self.world.run_for(c * 4.0)
             self.registry.change(**{name: {"state": "terminated"}})
 
     def cut_list(self, a, b, c):
-        live = self.registry.live()
+        live = self.registry.open_watches()
         for peer in live if a & 1 else live[:1]:
             if b % 3 == 0:
                 peer.silent = True
@@ -239,9 +241,9 @@
     def list_away(self, a, b, c):
         self.registry.down = bool(a & 1)
         self.servers(b, c, a >> 1)
-        self.world.pass_time(b * 8.0)
+        self.world.run_for(b * 8.0)
         self.registry.down = False
-        for peer in self.registry.live():
+        for peer in self.registry.open_watches():
             peer.close()
 
     def list_anew(self, a, b, c):
@@ -253,11 +255,13 @@
         draw = Draw(bytes([a, b, c]))
         odd = draw.odd()
         if type(odd) is not int or abs(odd) < 1 << 63:  # the stand-in's JSON has no longer ones
-            self.registry.spoil = {draw.choice(("state", "boot_ms", "capacity_hint", "az")): odd}
+            self.registry.corrupt_fields = {
+                draw.choice(("state", "boot_ms", "capacity_hint", "az")): odd
+            }
         self.servers(a, b, c)
 
     def collector(self, a, b, c):
-        connection = self.world.collector(("a", "b", "z", None)[a % 4])
+        connection = self.world.connect_collector(("a", "b", "z", None)[a % 4])
         if a % 4 < 2 and not connection.over:
             for k in range(b % 8):
                 feed(
@@ -283,23 +287,29 @@
 
     def flood(self, a, b, c):
         for _ in range(a % 40):
-            connection = self.world.collector(None)
+            connection = self.world.connect_collector(None)
             if not connection.over:
                 feed(
                     connection,
                     (b"", b"*", b"*1\r\n$4\r\nPI", b"GET / HTTP/1.1\r\n", encode("PING"))[b % 5],
                 )
-        self.world.pass_time(c)
+        self.world.run_for(c)
 
     def gone_caller(self, a, b, c):
-        if self.world.callers:
-            self.world.callers[a % len(self.world.callers)].close("reset")
+        if self.world.clients:
+            self.world.clients[a % len(self.world.clients)].close("reset")
 
     def probes(self, a, b, c):
-        self.world.probe_answers = ("well", "full", "junk", "cut", "refused", "absent", "silent")[
-            a % 7
-        ]
-        self.world.pass_time(b * 4.0)
+        self.world.health_check_reply = (
+            "well",
+            "full",
+            "junk",
+            "cut",
+            "refused",
+            "absent",
+            "silent",
+        )[a % 7]
+        self.world.run_for(b * 4.0)
 
     def move(self, a, b, c):
         self.addresses = ADDRESSES[a % 3]
@@ -307,19 +317,19 @@
         self.assigner.reload(made)
         if b & 1:
             # The old addresses are closed a moment later.
-            self.world.pass_time(c * 2.0)
+            self.world.run_for(c * 2.0)
             for connection in [
                 x
-                for x in self.hub.made
+                for x in self.hub.connections
                 if not x.over and x.peer.name in ("relay_watch", "relay", "discovery")
             ]:
                 if connection.address[0] != self.addresses["distributor"]["address"].split(":")[0]:
                     connection.close("reset")
 
     def refused(self, a, b, c):
-        self.world.refused = {6400, 8500} if a & 1 else set()
-        self.world.pass_time(b * 4.0)
-        self.world.refused = set()
+        self.world.refused_ports = {6400, 8500} if a & 1 else set()
+        self.world.run_for(b * 4.0)
+        self.world.refused_ports = set()
 
 
 CALLS = (Play.ending, Play.orders, Play.cut_calls, Play.wait, Play.away)
@@ -523,12 +533,12 @@
         if kind < 2:
             assigner.notify(core.HealthCheckResult(server, "odd", 1.0))
         if kind > 0:
-            play_.relay.leaves(number) if number in play_.relay.joined else play_.relay.comes(
+            play_.relay.disconnect_proxy(
                 number
-            )
-        play_.world.pass_time(40)
+            ) if number in play_.relay.connected_proxies else play_.relay.connect_proxy(number)
+        play_.world.run_for(40)
     # It looks again without news, and what stood beside the failing ones was taken in.
     before = turns[0]
-    play_.world.pass_time(REST)
+    play_.world.run_for(REST)
     hold(turns[0] - before > 20, "only", turns[0] - before, "turns after failed ones")
     hold(not play_.world.disagreements(), *play_.world.disagreements())
--- a/fuzz/targets/recovery.py
+++ b/fuzz/targets/recovery.py
@@ -5,7 +5,7 @@
 from copy import deepcopy
 
 from havendyke.interface import ServerState
-from havendyke.lab.disk import Died, LabDisk, Memory
+from havendyke.lab.disk import ProcessDied, SimulatedDisk, Storage
 from havendyke.recovery import changes, codec, records
 from havendyke.recovery.directory import StateDirectory
 from havendyke.recovery.reconciliation import MAX_TOMBSTONES, ServerReconciler
@@ -126,9 +126,9 @@
     ],
 )
 def folder(data):
-    memory, present = Memory(), PersistedState()
+    memory, present = Storage(), PersistedState()
     committed, flipped = [deepcopy(present)], False
-    made = StateDirectory(LabDisk(memory), 400)
+    made = StateDirectory(SimulatedDisk(memory), 400)
     made.open()
     for begin in range(0, len(data), 4):
         draw = Draw(data[begin : begin + 4])
@@ -144,11 +144,11 @@
                 continue
             if kind == 2:
                 # It dies at a call of the commit: this state may have been kept, or not.
-                made.disk.stop_at = made.disk.calls + 1 + a % 9
+                made.disk.die_at_call = made.disk.calls + 1 + a % 9
                 committed.append(deepcopy(wanted))
                 made.commit(changes.difference(present, wanted), wanted)
                 present = wanted
-        except Died:
+        except ProcessDied:
             pass
         memory.crash(("all", "none", "half")[a % 3])
         if kind == 4 and memory.live:
@@ -156,7 +156,7 @@
             if memory.live[name]:
                 memory.live[name][a * 7 % len(memory.live[name])] ^= 1 << a % 8
                 flipped = True
-        made = StateDirectory(LabDisk(memory), 400)
+        made = StateDirectory(SimulatedDisk(memory), 400)
         found = made.open()
         hold(found.state in committed, "a state that never was:", found.findings)
         # Without damage nothing that was acknowledged is lost.
--- a/fuzz/targets/settings.py
+++ b/fuzz/targets/settings.py
@@ -8,7 +8,7 @@
 
 from havendyke import config
 from havendyke import interface as core
-from havendyke.lab.hub import LabHub
+from havendyke.lab.event_loop import SimulatedEventLoop
 from havendyke.net.assigner import Assigner
 
 from ..draw import Draw
@@ -163,13 +163,13 @@
     for c in made.settings.request_classes:
         hold(c.idempotency in core.Idempotency, "idempotency", c.idempotency)
     try:
-        assigner = Assigner(made, LabHub())
+        assigner = Assigner(made, SimulatedEventLoop())
     except ValueError as error:
         hold("known" in {p[0] for p in touched}, "cannot be started with:", str(error))
         return
     hub = assigner.event_loop
     assigner.start()
-    hub.pass_time(600)
+    hub.run_for(600)
     failed = [t for t in hub.logged if t[0] in ("failure", "reconciliation_failed")]
     hold(not failed, "a failure:", failed[:2])
 
--- a/fuzz/targets/values.py
+++ b/fuzz/targets/values.py
@@ -175,7 +175,7 @@
     draw = Draw(data)
     assigner, hub = assigner_on()
     connection = assigner.collectors.accept()
-    hub.up(connection)
+    hub.establish(connection)
     watch(connection, encode("SOURCE", "az", "a"))
     events_of(assigner)
     while not draw.over and not connection.over:
@@ -234,7 +234,7 @@
                 "of",
                 told,
             )
-    hub.pass_time(10)
+    hub.run_for(10)
 
 
 @register(
@@ -384,8 +384,8 @@
     }
     while not draw.over:
         if stream.over:
-            hub.pass_time(600)
-            if not hub.standing("relay_watch"):
+            hub.run_for(600)
+            if not hub.open_connections("relay_watch"):
                 break
             stream = hub.open("relay_watch")
             watch(stream, b'{"jsonrpc":"2.0","id":1,"result":true}\n')
@@ -407,7 +407,7 @@
         except (orjson.JSONEncodeError, TypeError):
             continue
         watch(stream, line + b"\n")
-        hub.pass_time(draw.choice((0, 1, 70)))
+        hub.run_for(draw.choice((0, 1, 70)))
         events_of(assigner)
         hold(not hub.counters.get("failures"), "a failure:", hub.logged[-1:])
 
@@ -438,12 +438,12 @@
                     AcknowledgementOrder(serial % 65536, all_proxies=False),
                 ]
             )
-            hub.pass_time(draw.choice((0, 60, 600)))
-            for connection in hub.standing("relay", "relay_watch"):
-                hub.up(connection)
-        calls = hub.standing("relay")
+            hub.run_for(draw.choice((0, 60, 600)))
+            for connection in hub.open_connections("relay", "relay_watch"):
+                hub.establish(connection)
+        calls = hub.open_connections("relay")
         if not relay.call or not calls:
-            hub.pass_time(300)
+            hub.run_for(300)
             continue
         count = len(relay.call.orders)
         form = {
@@ -481,7 +481,7 @@
                 form,
             )
         hold(not hub.counters.get("failures"), "a failure:", hub.logged[-1:])
-        hub.pass_time(draw.choice((0, 5, 120, 2000)))
+        hub.run_for(draw.choice((0, 5, 120, 2000)))
         events_of(assigner)
 
 
@@ -516,14 +516,14 @@
     server = assigner.registry.server("s1")
     events_of(assigner)
     assigner.health_checker.check(server)
-    (connection,) = hub.standing(HealthCheck.name)
-    hub.up(connection)
+    (connection,) = hub.open_connections(HealthCheck.name)
+    hub.establish(connection)
     watch(connection, draw.rest())
     if end in (1, 2, 4, 5) and not connection.over:
         connection.eof_received() if end != 4 else connection.connection_lost(
             ConnectionResetError()
         )
-    hub.pass_time(FAR)
+    hub.run_for(FAR)
     told = [e for e in events_of(assigner) if isinstance(e, core.HealthCheckResult)]
     hold(len(told) == 1 and told[0].server is server, "a probe ended", len(told), "times")
     hold(
@@ -532,6 +532,6 @@
         told[0].outcome,
     )
     hold(
-        assigner.health_checker.in_flight == 0 and not hub.standing(HealthCheck.name),
+        assigner.health_checker.in_flight == 0 and not hub.open_connections(HealthCheck.name),
         "a probe's place is not free again",
     )
--- a/fuzz/targets/world.py
+++ b/fuzz/targets/world.py
@@ -4,7 +4,7 @@
 import orjson
 
 from havendyke import config
-from havendyke.lab.hub import LabHub, feed
+from havendyke.lab.event_loop import SimulatedEventLoop, feed
 from havendyke.net.assigner import Assigner
 
 from ..registry import hold
@@ -65,7 +65,7 @@
 def assigner_on(quiet: bool = True, servers=("s1", "s2", "s3"), limits=None, **more):
     """An assigner and its hub; a quiet one makes no turns, so that what it is told stays in its
     inbox."""
-    hub = LabHub(**{"news_streams": 1} | (limits or {}))
+    hub = SimulatedEventLoop(**{"news_streams": 1} | (limits or {}))
     made = Assigner(config.read_config(raw_config(known=known(*servers), **more), {}), hub)
     made.reconcile_pending = quiet
     for number in range(SETTINGS["familyInfo"]["keyRanges"]):
--- a/havendyke/lab/disk.py
+++ b/havendyke/lab/disk.py
@@ -16,11 +16,11 @@
 LOCK_HANDLE = "lock"
 
 
-class Died(BaseException):
+class ProcessDied(BaseException):
     """The process ends at this call; nothing of it goes on."""
 
 
-class Memory:
+class Storage:
     """What outlives processes: `durable` is what a crash leaves, `live` what a process sees."""
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
         return data[: kept + (len(data) - kept) // 2]
 
 
-class LabFile:
+class SimulatedFile:
     """An open file: its name when it was opened, and its bytes."""
 
     def __init__(self, name: str, data: bytearray) -> None:
@@ -62,28 +62,29 @@
     """What a call does before it takes effect, where nothing is to be slow."""
 
 
-class LabDisk:
-    """One process's view of a `Memory`."""
+class SimulatedDisk:
+    """One process's view of a `Storage`."""
 
     def __init__(
         self,
-        memory: Memory,
-        stop_at: int | None = None,
-        full: int | None = None,
+        memory: Storage,
+        die_at_call: int | None = None,
+        free_bytes: int | None = None,
         read_only: bool = False,
-        slow: Callable[[str], None] = _take_no_time,
+        on_call: Callable[[str], None] = _take_no_time,
         sync_fails: bool = False,
     ) -> None:
         """A disk that works, unless told otherwise.
 
-        `stop_at`: the number of the call at which the process dies. `full`: bytes that may be
-        written. `read_only`: each change is refused. `slow`: called with each call's name.
+        `die_at_call`: the number of the call at which the process dies. `free_bytes`: bytes that
+        may be written. `read_only`: each change is refused. `on_call`: called with each call's
+        name.
         """
         self.memory = memory
-        self.stop_at = stop_at
-        self.full = full
+        self.die_at_call = die_at_call
+        self.free_bytes = free_bytes
         self.read_only = read_only
-        self.slow = slow
+        self.on_call = on_call
         self.sync_fails = sync_fails
         self.calls = 0
         self._synced: dict[int, bytes] = {}  # by the identity of a file's bytes
@@ -119,17 +120,17 @@
         """Opens a file for writing, and empties it where it exists."""
         self._call("create")
         self.memory.live[name] = bytearray()
-        return LabFile(name, self.memory.live[name])
+        return SimulatedFile(name, self.memory.live[name])
 
     def write(self, handle: Any, data: bytes) -> int:
         """Writes some of the bytes; returns how many."""
         self._call("write")
         count = min(len(data), MAX_WRITE_BYTES)
-        if self.full is not None:
-            if self.full <= 0:
+        if self.free_bytes is not None:
+            if self.free_bytes <= 0:
                 raise OSError(errno.ENOSPC, "No space left on device")
-            count = min(count, self.full)
-            self.full -= count
+            count = min(count, self.free_bytes)
+            self.free_bytes -= count
         handle.data.extend(data[:count])
         return count
 
@@ -169,9 +170,9 @@
 
     def _call(self, name: str, changes: bool = True) -> None:
         self.calls += 1
-        if self.stop_at is not None and self.calls >= self.stop_at:
-            raise Died(name)
-        self.slow(name)
+        if self.die_at_call is not None and self.calls >= self.die_at_call:
+            raise ProcessDied(name)
+        self.on_call(name)
         if changes and self.read_only:
             raise OSError(errno.EROFS, "Read-only file system")
 
--- a/havendyke/lab/hub.py
+++ b/havendyke/lab/event_loop.py
@@ -12,44 +12,50 @@
 
 class Transport:
     """What a connection writes, kept; `unread` is what its peer has not taken yet (bytes).
-    `heard()` is called after a write, `ended()` once the connection was let go."""
+    `on_write()` is called after a write, `on_abort()` once the connection was let go."""
 
-    def __init__(self, heard=None, ended=None):
-        self.written, self.aborted, self.unread, self.heard, self.ended = (
+    def __init__(self, on_write=None, on_abort=None):
+        self.written, self.aborted, self.unread, self.on_write, self.on_abort = (
             b"",
             False,
             0,
-            heard,
-            ended,
+            on_write,
+            on_abort,
         )
 
     def write(self, data: bytes):
         self.written += data
-        if self.heard:
-            self.heard()
+        if self.on_write:
+            self.on_write()
 
     def write_eof(self):
         pass
 
     def abort(self):
-        if self.ended and not self.aborted:
-            self.ended()
+        if self.on_abort and not self.aborted:
+            self.on_abort()
         self.aborted = True
 
     def get_write_buffer_size(self) -> int:
         return self.unread
 
 
-class LabHub(EventLoop):
+class SimulatedEventLoop(EventLoop):
     """Times are ms, from 1000 on; `limits` are fields of `Limits`. Connections asked for are in
-    `made`, oldest first; none comes up until `up` or `open` says so, or `dialled(connection)`,
-    where it is set, does it."""
+    `connections`, oldest first; none comes up until `establish` or `open` says so, or
+    `on_connect(connection)`, where it is set, does it."""
 
     def __init__(self, **limits):
         self.limits = replace(Limits(), **limits)
-        self.counters, self.logged, self.time, self.made, self.later = {}, [], 1000.0, [], []
+        self.counters, self.logged, self.time, self.connections, self.pending_callbacks = (
+            {},
+            [],
+            1000.0,
+            [],
+            [],
+        )
         self.deadlines, self.slots, self.loop = DeadlineQueue(), SlotTable(self.limits.slots), self
-        self.buffer_budget, self.started_s, self.dialled = BufferBudget(1e6), 0.0, None
+        self.buffer_budget, self.started_s, self.on_connect = BufferBudget(1e6), 0.0, None
         self.discard_buffer, self.lingering_connections = bytearray(self.limits.buffer), 0
 
     def log(self, event, **more):
@@ -65,19 +71,19 @@
         pass
 
     def call_soon(self, call):
-        self.later.append(call)
+        self.pending_callbacks.append(call)
 
     def connect(self, address, peer, wait=None):
         made = self.new_connection(peer, wait)
         if made is None:
             return None
         made.address = address
-        self.made.append(made)
-        if self.dialled:
-            self.dialled(made)
+        self.connections.append(made)
+        if self.on_connect:
+            self.on_connect(made)
         return made
 
-    def pass_time(self, ms: float):
+    def run_for(self, ms: float):
         end = self.time + ms
         while (first := self.deadlines.next_at_ms()) is not None and first <= end:
             self.time = max(self.time, first)
@@ -87,25 +93,25 @@
         self.time = end
 
     def run(self):
-        while self.later:
-            self.later.pop(0)()
+        while self.pending_callbacks:
+            self.pending_callbacks.pop(0)()
 
-    def standing(self, *names) -> list:
+    def open_connections(self, *names) -> list:
         """The connections of these peers that are not over, oldest first; those that are over are
         forgotten."""
-        self.made = [c for c in self.made if not c.over]
-        return [c for c in self.made if c.peer.name in names]
+        self.connections = [c for c in self.connections if not c.over]
+        return [c for c in self.connections if c.peer.name in names]
 
     @staticmethod
-    def up(connection):
+    def establish(connection):
         if connection.transport is None:
             connection.connection_made(Transport())
         return connection
 
-    def open(self, name: str, up: bool = True):
+    def open(self, name: str, establish: bool = True):
         """The newest connection of these peers that is not over; brought up first."""
-        made = [c for c in self.made if c.peer.name == name and not c.over][-1]
-        return self.up(made) if up else made
+        made = [c for c in self.connections if c.peer.name == name and not c.over][-1]
+        return self.establish(made) if establish else made
 
 
 def feed(connection, data: bytes):
--- a/havendyke/lab/life.py
+++ b/havendyke/lab/host.py
@@ -5,25 +5,25 @@
 from ..net.assigner import Assigner
 from ..recovery.durable_state import DurableState, StateOptions
 from ..recovery.timestamps import Timestamp
-from .disk import InlineWriter, LabDisk, Memory
-from .peers import World
+from .disk import InlineWriter, SimulatedDisk, Storage
+from .peers import Simulation
 
 
-class Life:
+class AssignerHost:
     """One folder over several runs of an assigner; `wall` is the machine's clock (Unix ms). `raw`
     is the platform's configuration, `entries` discovery's list by uid; each slice begins on one
     server, in turn."""
 
     def __init__(self, raw: dict, entries: dict):
         self.raw = raw
-        self.memory, self.wall, self.boot, self.entries = Memory(), 1.7e12, 1, dict(entries)
+        self.storage, self.wall, self.boot, self.entries = Storage(), 1.7e12, 1, dict(entries)
         names, count = list(entries), raw["settings"]["familyInfo"]["keyRanges"]
         self.store = {k: {names[k % len(names)]: 1.0} for k in range(count)}
         self.since = 5000.0
 
-    def start(self, disk=None, discovery=True, proxies=range(6), keeps=True, **entries):
+    def start(self, disk=None, discovery=True, proxies=range(6), persist=True, **entries):
         """A run; the store and discovery's list go on from the last one."""
-        self.memory.crash("all")
+        self.storage.crash("all")
         self.entries |= entries
 
         def make(hub):
@@ -31,18 +31,22 @@
             clock = lambda: Timestamp(wall + hub.time - began, boot, since + hub.time - began)  # noqa: E731
             hub.wall = lambda: began - wall
             self.durable = DurableState(
-                StateOptions("/"), hub.log, disk or LabDisk(self.memory), clock, InlineWriter
+                StateOptions("/"), hub.log, disk or SimulatedDisk(self.storage), clock, InlineWriter
+            )
+            return Assigner(
+                config.read_config(self.raw, {}), hub, self.durable if persist else None
             )
-            return Assigner(config.read_config(self.raw, {}), hub, self.durable if keeps else None)
 
-        w = World(make, self.store, self.entries, proxies)
-        w.registry.down = not discovery
+        w = Simulation(make, self.store, self.entries, proxies)
+        w.discovery.down = not discovery
         w.assigner.start()
-        self.world = w
+        self.simulation = w
         return w
 
-    def cut(self, later, same_boot=False):
+    def crash(self, later, same_boot=False):
         """Power is gone; the machine comes back so much later by its wall clock."""
-        self.wall += self.world.hub.time - 1000.0 + later
-        self.since = self.since + self.world.hub.time - 1000.0 + later if same_boot else 5000.0
+        self.wall += self.simulation.event_loop.time - 1000.0 + later
+        self.since = (
+            self.since + self.simulation.event_loop.time - 1000.0 + later if same_boot else 5000.0
+        )
         self.boot += not same_boot
--- a/havendyke/lab/scale/course.py
+++ b/havendyke/lab/scale/course.py
@@ -106,7 +106,7 @@
                     assigner.change(names, state)
             fleet.now += STEP_MS
             for assigner in self.assigners:
-                assigner.pass_time(STEP_MS)
+                assigner.run_for(STEP_MS)
             self.yardstick.lay()
 
     def taken(self, phase: Phase) -> dict:
@@ -127,8 +127,8 @@
                     Counter(made["traffic"].get(kind, {})) + Counter(counts)
                 )
         made["log"] = {
-            "lines": sum(a.hub.log_lines for a in self.assigners),
-            "bytes": sum(a.hub.log_bytes for a in self.assigners),
+            "lines": sum(a.event_loop.log_lines for a in self.assigners),
+            "bytes": sum(a.event_loop.log_bytes for a in self.assigners),
         }
         made["orders"] = sum(a.relay.orders for a in self.assigners)
         made["taken_ms"] = [round(ms, 1) for a in self.assigners for ms in a.relay.taken_ms]
@@ -136,6 +136,6 @@
         made["asked"] = dict(sum((a.asked for a in self.assigners), Counter()))
         made["fullest_fresh"], made["yardstick_ms"] = round(self.fullest, 3), self.yardstick.take()
         for a in self.assigners:
-            a.hub.log_lines = a.hub.log_bytes = a.relay.orders = 0
+            a.event_loop.log_lines = a.event_loop.log_bytes = a.relay.orders = 0
             a.relay.taken_ms, a.asked = [], Counter()
         return made
--- a/havendyke/lab/scale/hollow.py
+++ b/havendyke/lab/scale/hollow.py
@@ -8,8 +8,8 @@
 from ... import config
 from ...net.assigner import Assigner
 from ...net.resp import encode
-from ..hub import LabHub, feed
-from ..peers import World
+from ..event_loop import SimulatedEventLoop, feed
+from ..peers import Simulation
 from .fleet import Fleet, settings
 from .meter import IN, OUT, Meter, kind_of, messages_in
 from .size import ZONE_NAMES
@@ -28,7 +28,7 @@
 }  # of a turn
 
 
-class MeteredHub(LabHub):
+class MeteredHub(SimulatedEventLoop):
     """A laboratory's hub that charges what runs on it, and counts bytes where a socket would have
     them."""
 
@@ -68,11 +68,11 @@
         return connection
 
 
-class HollowAssigner(World):
+class HollowAssigner(Simulation):
     """An assigner with everybody round it; `fleet` is shared with the other assigners of the
     process."""
 
-    relay_type, registry_type = ScaleRelay, ScaleRegistry
+    relay_type, discovery_type = ScaleRelay, ScaleRegistry
 
     def __init__(self, fleet: Fleet, number: int):
         self.fleet, self.number, self.meter, self.next_line = fleet, number, Meter(), 0
@@ -91,20 +91,20 @@
             fleet.store(number),
             fleet.entries,
             range(fleet.size.proxies),
-            hub=MeteredHub(self.meter),
+            event_loop=MeteredHub(self.meter),
         )
         self.measure_turns()
         self.assigner.start()
         for zone in ZONE_NAMES[: fleet.size.zones]:
-            self.collector(zone)
+            self.connect_collector(zone)
 
     def now(self) -> float:
         """The model's time."""
-        return self.hub.time - FIRST_MS
+        return self.event_loop.time - FIRST_MS
 
     def unix_ms(self) -> float:
         """Unix time, by the laboratory's clock."""
-        return self.hub.time + UNIX_MS
+        return self.event_loop.time + UNIX_MS
 
     def measure_turns(self):
         controller, registry = self.assigner.registry.controller, self.assigner.registry
@@ -113,15 +113,15 @@
         registry.reconcile = self.meter.timed("turn", registry.reconcile)
         self.assigner.carry_out = self.meter.timed("send", self.assigner.carry_out)
 
-    def dialled(self, connection):
+    def connect_peer(self, connection):
         if connection.peer.name == "health_checks":
             self.asked[connection.peer.server.id] += 1
             if connection.peer.server.id in self.absent:
                 return  # a machine that has vanished says nothing
-        super().dialled(connection)
+        super().connect_peer(connection)
 
-    def collector(self, zone):
-        connection = self.collectors[zone] = super().collector(None)
+    def connect_collector(self, zone):
+        connection = self.collectors[zone] = super().connect_collector(None)
         self.bring(zone, [self.source(zone)])
         return connection
 
@@ -154,7 +154,7 @@
     def report_lines(self) -> list:
         fleet, made = self.fleet, []
         zones, window = ZONE_NAMES[: fleet.size.zones], str(WINDOW_MS)
-        for piece in sorted(self.relay.given):
+        for piece in sorted(self.relay.assigned_slices):
             for kind in range(fleet.size.classes):
                 count = str(round(fleet.requests() / fleet.size.classes))
                 made.append(
@@ -208,7 +208,7 @@
     def offers(self) -> Counter:
         """Requests a second that it has the proxies send to each task."""
         made = Counter()
-        for piece in self.relay.given:
+        for piece in self.relay.assigned_slices:
             lines = {
                 h: w for h, w in self.relay.store[piece].items() if h not in self.relay.shut_out
             }
@@ -227,14 +227,16 @@
             self.absent.update(names)
         if state != "in_service":
             self.relay.changed(names)
-        self.registry.change(**{name: more for name in names})
+        self.discovery.change(**{name: more for name in names})
 
     def restart_proxies(self, zones: str):
         """The proxies of these zones lose their streams and join anew."""
-        for proxy in [p for p in sorted(self.relay.joined) if self.relay.zone(p) in zones]:
-            self.relay.leaves(proxy)
-            self.after(self.chance.uniform(*REJOIN_MS), lambda p=proxy: self.relay.comes(p))
+        for proxy in [
+            p for p in sorted(self.relay.connected_proxies) if self.relay.zone(p) in zones
+        ]:
+            self.relay.disconnect_proxy(proxy)
+            self.after(self.chance.uniform(*REJOIN_MS), lambda p=proxy: self.relay.connect_proxy(p))
 
-    def said(self, connection, data: bytes):
+    def on_peer_data(self, connection, data: bytes):
         kind = kind_of(connection.peer)
         self.meter.count(kind, IN, data, messages_in(kind, data))
--- a/havendyke/lab/scale/real.py
+++ b/havendyke/lab/scale/real.py
@@ -16,7 +16,7 @@
 
 import psutil
 
-from ..peers import RegistryPeer, RelayPeer, ServerPeer
+from ..peers import DiscoveryPeer, RelayPeer, ServerPeer
 from .fleet import Fleet, change_some, settings
 from .guard import MB, Guard
 from .hollow import WINDOW_MS, HollowAssigner
@@ -44,8 +44,8 @@
 
 
 class RealAssigner:
-    """One process and the peers round it. It offers the stand-ins what `lab.peers.World` offers
-    them."""
+    """One process and the peers round it. It offers the stand-ins what `lab.peers.Simulation`
+    offers them."""
 
     report_lines, offers, report = (
         HollowAssigner.report_lines,
@@ -69,8 +69,8 @@
 
     async def start(self):
         self.relay = ScaleRelay(self, self.fleet.store(self.number), range(self.fleet.size.proxies))
-        self.registry = ScaleRegistry(self, self.fleet.entries)
-        ports = [await self.listen(kind) for kind in (RelayPeer, RegistryPeer)]
+        self.discovery = ScaleRegistry(self, self.fleet.entries)
+        ports = [await self.listen(kind) for kind in (RelayPeer, DiscoveryPeer)]
         listen = await self.free_port()
         raw = {
             "name": f"assigner-{self.number}",
@@ -116,7 +116,7 @@
                 self.meter.count(kind[0], IN, data, messages_in(kind[0], data))
                 writer.write(data)
 
-        peer.say = say
+        peer.send = say
         try:
             while line := await reader.readline():
                 if not kind:
@@ -124,7 +124,7 @@
                 self.meter.count(
                     kind[0], OUT, line, int(kind[0] in ("calls", "news") or line == b"\r\n")
                 )
-                peer.take(line[:-1])
+                peer.receive_line(line[:-1])
                 if kind[0] in ("list", "probes") and line == b"\r\n":
                     break  # it asked for one answer on this connection
         except (ConnectionError, asyncio.CancelledError):
@@ -141,9 +141,9 @@
             return "probes"
         return "watch" if b"follow=1" in line else "list"
 
-    def answer_probe(self, peer):
+    def answer_health_check(self, peer):
         body = b"TEXT inflight=2, queue=0"
-        peer.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+        peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     # Collectors
 
--- a/havendyke/lab/traffic.py
+++ b/havendyke/lab/server_load.py
@@ -18,8 +18,8 @@
 
 
 @dataclass(slots=True)
-class Machine:
-    """One server. `started`: when it answered first since its last start, None: long ago; `felled`:
+class SimulatedServer:
+    """One server. `started`: when it answered first since its last start, None: long ago; `failed`:
     it fell over and stays down."""
 
     name: str
@@ -27,7 +27,7 @@
     size: float = 1.0
     up: bool = True
     started: float | None = None
-    felled: bool = False
+    failed: bool = False
 
 
 @dataclass(frozen=True)
@@ -35,10 +35,10 @@
     """Each controller hears of each server and slice once in `period`, from one of `zones` in turn,
     what this zone's proxies met over `span`; the report is `delay` under way. Times are ms."""
 
-    period: float = 1000.0
-    span: float = 1000.0
+    period_ms: float = 1000.0
+    span_ms: float = 1000.0
     zones: int = 1
-    delay: float = 300.0
+    delay_ms: float = 300.0
 
 
 def failed_share(used: float) -> float:
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Met:
+class RequestSample:
     """What the proxies of one controller met at a server from one look to the next, in
     operations."""
 
@@ -63,25 +63,25 @@
     latency: float
 
 
-class History:
+class RequestHistory:
     """What the proxies of one controller met at one server."""
 
     def __init__(self):
-        self.met = deque()
+        self.samples = deque()
 
-    def add(self, met: Met, span: float):
-        self.met.append(met)
-        while self.met[0].at <= met.at - span:
-            self.met.popleft()
+    def add(self, met: RequestSample, span: float):
+        self.samples.append(met)
+        while self.samples[0].at <= met.at - span:
+            self.samples.popleft()
 
     def report(
         self, now: float, server, zone: int, sampling: Sampling
     ) -> core.ServerLoadReport | None:
         """The report of one zone; None where it met nothing."""
-        recent = [met for met in self.met if met.at > now - sampling.span]
+        recent = [met for met in self.samples if met.at > now - sampling.span_ms]
         tries = round(sum(met.tries for met in recent) / sampling.zones)
         bad = min(tries, round(sum(met.bad for met in recent) / sampling.zones))
         if not tries:
             return None
         slow = recent[-1].latency if bad < tries else 0.0
-        return core.ServerLoadReport(server, zone, tries, bad, slow, sampling.span)
+        return core.ServerLoadReport(server, zone, tries, bad, slow, sampling.span_ms)
--- a/havendyke/lab/writes.py
+++ b/havendyke/lab/write_overlap.py
@@ -2,12 +2,12 @@
 
 
 class WriteOverlap:
-    """`lingers`: a write that a server took in ends within this (ms)."""
+    """`max_in_flight_ms`: a write that a server took in ends within this (ms)."""
 
-    def __init__(self, lingers: float):
-        self.lingers, self.last = lingers, {}
+    def __init__(self, max_in_flight_ms: float):
+        self.max_in_flight_ms, self.last = max_in_flight_ms, {}
 
-    def look(self, now: float, piece, servers) -> list:
+    def observe(self, now: float, piece, servers) -> list:
         """Takes down that these servers take writes of the slice now; the pairs of servers whose
         writes meet."""
         last, pairs = self.last.setdefault(piece, {}), []
@@ -15,7 +15,7 @@
             pairs += [
                 (server, other)
                 for other, at in last.items()
-                if other is not server and now - at < self.lingers
+                if other is not server and now - at < self.max_in_flight_ms
             ]
             last[server] = now
         return pairs
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,9 +3,9 @@
 import orjson
 
 from havendyke import config
-from havendyke.lab import hub as lab
-from havendyke.lab.hub import LabHub as FakeEventLoop
-from havendyke.lab.hub import Transport  # noqa: F401  for the tests
+from havendyke.lab import event_loop as lab
+from havendyke.lab.event_loop import SimulatedEventLoop as FakeEventLoop
+from havendyke.lab.event_loop import Transport  # noqa: F401  for the tests
 from havendyke.net.assigner import Assigner
 from havendyke.net.buffer import Buffer
 from havendyke.net.relay_orders import WeightOrder
@@ -114,7 +114,7 @@
     """One connection with news, on which this stands."""
     assigner.relay.watch.add_stream()
     feed(hub.open("relay_watch"), [SUCCESS_REPLY, *news])
-    hub.pass_time(100)
+    hub.run_for(100)
 
 
 def snapshot_stream(hub):
@@ -122,7 +122,7 @@
     hub.open("relay_watch")
     return [
         c
-        for c in hub.made
+        for c in hub.connections
         if c.peer.name == "relay_watch" and c.peer.purpose is StreamPurpose.SNAPSHOT and not c.over
     ][-1]
 
--- a/tests/lab/deployment.py
+++ b/tests/lab/deployment.py
@@ -5,13 +5,13 @@
 
 from havendyke import interface as core
 from havendyke.lab.controllers import ControllerGroup
-from havendyke.lab.traffic import Sampling
+from havendyke.lab.server_load import Sampling
 
 SERVERS, PROXIES, BASELINE_RATE = 60, 4, 100.0  # requests a second at a healthy server
 MANY_CONTROLLERS = 30  # above it a step is twice as long
 SLICES_PER_SERVER, SLICES_PER_CONTROLLER = 6, 1.2
 SKEW, FIRST_RANK = 0.6, 10  # demand is a power of the rank
-SPARSE = Sampling(period=2000.0, span=6000.0, zones=3, delay=300.0)
+SPARSE = Sampling(period_ms=2000.0, span_ms=6000.0, zones=3, delay_ms=300.0)
 
 
 def settings(slices, proxies=PROXIES, **changes):
@@ -59,15 +59,16 @@
         servers,
         demand,
         proxies=proxies,
-        usual=BASELINE_RATE,
+        warm_capacity=BASELINE_RATE,
         seed=seed,
-        **{"sampling": SPARSE, "step": 100.0 if count > MANY_CONTROLLERS else 50.0} | (group or {}),
+        **{"sampling": SPARSE, "step_ms": 100.0 if count > MANY_CONTROLLERS else 50.0}
+        | (group or {}),
     )
-    controllers.go(500.0)
+    controllers.run_for(500.0)
     for replica in controllers.replicas:
         scene = ControllerHarness.wrap(replica.registry.controller)
         scene.set_started_long_ago()
         for slice_ in scene.slices:
             scene.set_assigned_at(slice_, LONG_AGO_MS)
-    controllers.go(3000.0)
+    controllers.run_for(3000.0)
     return controllers
--- a/tests/lab/test_cold_budget.py
+++ b/tests/lab/test_cold_budget.py
@@ -3,9 +3,9 @@
 import pytest
 
 from havendyke import interface as core
-from havendyke.lab.cold import KNOWN_SHARE, ColdBudget, Work
-from havendyke.lab.plane import Plane
-from havendyke.lab.rules import Bounds, Rules
+from havendyke.lab.cold_start import MIN_AWARE_SHARE, ColdStartBudget, SentLoad
+from havendyke.lab.data_plane import DataPlane
+from havendyke.lab.rules import Bounds, RuleChecker
 from havendyke.registry import ObjectRegistry
 
 FALL, STEP, USUAL = 500.0, 10.0, 100.0
@@ -26,16 +26,16 @@
 
 def falls(works, started=0.0, size=1.0):
     """The falls of a server that is sent these, one look each."""
-    budget, now, seen = ColdBudget(SETTINGS, FALL, 0.0, USUAL), 0.0, []
+    budget, now, seen = ColdStartBudget(SETTINGS, FALL, 0.0, USUAL), 0.0, []
     for work in works:
         now += STEP
-        fall = budget.look(now, STEP, "s1", started, size, work)
+        fall = budget.add_sample(now, STEP, "s1", started, size, work)
         seen += [fall] if fall else []
     return seen
 
 
 def steady(total, known_share=1.0, looks=60):
-    return [Work(total, total * known_share)] * looks
+    return [SentLoad(total, total * known_share)] * looks
 
 
 @pytest.mark.parametrize("share, fell", [(0.99, False), (1.15, True)])
@@ -45,11 +45,11 @@
 
 def test_all_work_counts_for_the_fall_also_that_of_proxies_that_know_nothing():
     (fall,) = falls(steady(2 * AT_START, known_share=0.0, looks=49))
-    assert fall.multiple > 1.8 and fall.known_share == 0.0 and not fall.breaks_rule
+    assert fall.multiple > 1.8 and fall.aware_share == 0.0 and not fall.breaks_rule
 
 
 @pytest.mark.parametrize(
-    "share, breaks", [(0.0, False), (0.65, False), (KNOWN_SHARE + 0.001, True), (1.0, True)]
+    "share, breaks", [(0.0, False), (0.65, False), (MIN_AWARE_SHARE + 0.001, True), (1.0, True)]
 )
 def test_the_rule_is_broken_where_two_thirds_of_the_work_was_known(share, breaks):
     (fall,) = falls(steady(1.5 * AT_START, share, looks=49))
@@ -65,12 +65,12 @@
 @pytest.mark.parametrize("burst, fell", [(5, False), (12, True)])
 def test_a_burst_counts_against_the_budget_of_the_whole_window(burst, fell):
     # Five times what fells it: 50 ms fill half of a window's budget, 120 ms all of it.
-    works = [Work(5 * AT_START, 5 * AT_START)] * burst + [Work()] * (60 - burst)
+    works = [SentLoad(5 * AT_START, 5 * AT_START)] * burst + [SentLoad()] * (60 - burst)
     assert bool(falls(works)) == fell
 
 
 def test_work_of_before_the_window_does_not_count():
-    heavy, light = Work(0.9 * AT_START, 0.9 * AT_START), Work(0.0, 0.0)
+    heavy, light = SentLoad(0.9 * AT_START, 0.9 * AT_START), SentLoad(0.0, 0.0)
     assert not falls([heavy] * 45 + [light] * 50 + [heavy] * 45)
 
 
@@ -88,10 +88,13 @@
 
 
 def test_a_second_start_begins_a_window_anew():
-    budget = ColdBudget(SETTINGS, FALL, 0.0, USUAL)
+    budget = ColdStartBudget(SETTINGS, FALL, 0.0, USUAL)
     for k in range(1, 80):
         started = 0.0 if k < 40 else 400.0
-        assert budget.look(k * STEP, STEP, "s1", started, 1.0, Work(1.2 * AT_START, 0.0)) is None
+        assert (
+            budget.add_sample(k * STEP, STEP, "s1", started, 1.0, SentLoad(1.2 * AT_START, 0.0))
+            is None
+        )
 
 
 class Scene:
@@ -100,37 +103,50 @@
     def __init__(self):
         self.registry, self.plane = (
             ObjectRegistry(SETTINGS, 1),
-            Plane(SETTINGS, lambda: 0.5, sync=(0.0, 0.0)),
+            DataPlane(SETTINGS, lambda: 0.5, read_delay_ms=(0.0, 0.0)),
+        )
+        self.rules = RuleChecker(
+            SETTINGS,
+            Bounds(
+                empty_table_ms=1000.0,
+                drain_grace_ms=2000.0,
+                overload_window_ms=FALL,
+                load_tolerance=0.0,
+            ),
+            USUAL,
         )
-        self.rules = Rules(SETTINGS, Bounds(bare=1000.0, grace=2000.0, fall=FALL, slack=0.0), USUAL)
         self.server, self.pieces = (
             self.registry.server("a"),
             [self.registry.slice(k) for k in range(3)],
         )
         for piece in self.pieces:
-            self.plane.give(piece, {self.server: 1.0})
+            self.plane.assign_slice(piece, {self.server: 1.0})
         self.proxies = [self.registry.proxy(k) for k in range(4)]
         for proxy in self.proxies:
-            self.plane.join(proxy, 0, 1.0, True)
+            self.plane.connect(proxy, 0, 1.0, True)
         self.go(50.0, 0.0)
 
     def told_started(self, started):
         entry = core.EndpointEntry(self.server, "ready", started, 0, 0, 0, 1.0)
-        self.rules.told(self.plane.now, core.EndpointListUpdate(core.ListScope.CHANGES, [entry]))
+        self.rules.observe_list(
+            self.plane.now, core.EndpointListUpdate(core.ListScope.CHANGES, [entry])
+        )
 
     def message(self, *proxies):
         """A message to these proxies, which says nothing of the server."""
         for proxy in proxies:
-            self.plane.send(self.plane.view(proxy), [], core.RequestAcknowledgement(1, False))
+            self.plane.send(
+                self.plane.proxy_state(proxy), [], core.RequestAcknowledgement(1, False)
+            )
 
     def go(self, span, rate=0.5 * AT_START):
         for _ in range(int(span / STEP)):
             self.plane.advance(self.plane.now + STEP)
-            self.rules.look(self.plane.now, self.plane, dict.fromkeys(self.pieces, rate))
+            self.rules.check(self.plane.now, self.plane, dict.fromkeys(self.pieces, rate))
 
     @property
     def broken(self):
-        return [breach.rule for breach in self.rules.breaches]
+        return [breach.rule for breach in self.rules.violations]
 
 
 @pytest.mark.parametrize("reached, broken", [(0, False), (2, False), (3, True), (4, True)])
@@ -140,7 +156,7 @@
     s.message(*s.proxies[:reached])
     s.go(100.0, 0.0)  # the messages arrive
     s.go(500.0)
-    assert s.rules.falls and ("cold" in s.broken) == broken
+    assert s.rules.overload_failures and ("cold" in s.broken) == broken
 
 
 def test_a_message_sent_before_its_controller_was_told_gives_no_knowledge():
@@ -149,7 +165,7 @@
     s.go(10.0, 0.0)
     s.told_started(s.plane.now)
     s.go(600.0)
-    assert s.rules.falls and not s.broken
+    assert s.rules.overload_failures and not s.broken
 
 
 @pytest.mark.parametrize("since_told, broken", [(1300.0, False), (2010.0, True)])
@@ -158,4 +174,4 @@
     s.told_started(s.plane.now)
     s.go(since_told, 0.0)
     s.go(600.0, AT_START)
-    assert s.rules.falls and ("cold" in s.broken) == broken
+    assert s.rules.overload_failures and ("cold" in s.broken) == broken
--- a/tests/lab/test_five_rules.py
+++ b/tests/lab/test_five_rules.py
@@ -3,11 +3,13 @@
 import pytest
 
 from havendyke import interface as core
-from havendyke.lab.plane import Plane
-from havendyke.lab.rules import Bounds, Rules
+from havendyke.lab.data_plane import DataPlane
+from havendyke.lab.rules import Bounds, RuleChecker
 from havendyke.registry import ObjectRegistry
 
-BOUNDS = Bounds(bare=1000.0, grace=2000.0, fall=500.0, slack=0.0)
+BOUNDS = Bounds(
+    empty_table_ms=1000.0, drain_grace_ms=2000.0, overload_window_ms=500.0, load_tolerance=0.0
+)
 
 
 class Scene:
@@ -32,21 +34,21 @@
         )
         self.registry = ObjectRegistry(self.settings, 1)
         self.plane, self.rules = (
-            Plane(self.settings, lambda: 0.5, sync=(0.0, 0.0)),
-            Rules(self.settings, BOUNDS, usual=100.0),
+            DataPlane(self.settings, lambda: 0.5, read_delay_ms=(0.0, 0.0)),
+            RuleChecker(self.settings, BOUNDS, warm_capacity=100.0),
         )
         self.a, self.b = self.registry.server("a"), self.registry.server("b")
         self.pieces = [self.registry.slice(0), self.registry.slice(1)]
         self.list(self.a), self.list(self.b)
         for piece in self.pieces:
-            self.plane.give(piece, {self.a: 1.0})
+            self.plane.assign_slice(piece, {self.a: 1.0})
         self.proxy = self.registry.proxy(0)
-        self.plane.join(self.proxy, 0, 1.0, True)
+        self.plane.connect(self.proxy, 0, 1.0, True)
         self.demand = dict.fromkeys(self.pieces, 50.0)
         self.go(10)
 
     def list(self, server, state="ready", started=None):
-        self.rules.told(
+        self.rules.observe_list(
             self.plane.now,
             core.EndpointListUpdate(
                 core.ListScope.CHANGES, [core.EndpointEntry(server, state, started, 0, 0, 0, 1.0)]
@@ -54,17 +56,17 @@
         )
 
     def order(self, *orders):
-        self.plane.order(list(orders))
-        self.rules.ordered(self.plane.now, orders, self.plane)
+        self.plane.apply_orders(list(orders))
+        self.rules.observe_orders(self.plane.now, orders, self.plane)
 
     def go(self, ms, step=10.0):
         for _ in range(int(ms / step)):
             self.plane.advance(self.plane.now + step)
-            self.rules.look(self.plane.now, self.plane, self.demand)
+            self.rules.check(self.plane.now, self.plane, self.demand)
 
     @property
     def seen(self):
-        return [b.rule for b in self.rules.breaches]
+        return [b.rule for b in self.rules.violations]
 
 
 def test_a_day_without_trouble_breaks_nothing():
@@ -113,7 +115,7 @@
     s = Scene()
     s.list(s.b, "ready", s.plane.now - age)
     s.go(2100)  # by then it counts as known
-    s.rules.start[s.b] = s.plane.now - age
+    s.rules.started[s.b] = s.plane.now - age
     s.order(
         *[core.SetEndpointWeight(p, s.b, w) for p in s.pieces for w in (share,)],
         *[core.SetEndpointWeight(p, s.a, 1.0 - share) for p in s.pieces],
@@ -147,10 +149,10 @@
 def test_twice_of_a_sole_owner(wait, breaks, away):
     s = Scene(exclusive_ownership=True, lease_ms=300.0, max_write_in_flight_ms=500.0)
     other = s.registry.proxy(1)
-    s.plane.join(other, 0, 1.0, True)
+    s.plane.connect(other, 0, 1.0, True)
     s.go(50)
     if away:
-        s.plane.part(other)
+        s.plane.disconnect(other)
     s.order(core.ClearTable(s.pieces[0]))
     s.go(wait)
     s.order(core.SetEndpointWeight(s.pieces[0], s.b, 1.0))
@@ -161,9 +163,9 @@
 def test_limits_stand_still_while_nothing_leaves():
     s = Scene()
     s.list(s.a, "gone")
-    s.rules.reached(s.plane.now, False)
+    s.rules.set_channel_available(s.plane.now, False)
     s.go(4000)
-    s.rules.reached(s.plane.now, True)
+    s.rules.set_channel_available(s.plane.now, True)
     s.go(1900)
     assert s.seen == []
     s.go(300)
--- a/tests/lab/test_several_controllers.py
+++ b/tests/lab/test_several_controllers.py
@@ -12,23 +12,23 @@
 
 def breaches(group):
     """The rules that were broken, as texts."""
-    return [str(breach) for breach in group.breaches]
+    return [str(breach) for breach in group.violations]
 
 
 def lose_zone(group, duration_ms, listed_after_ms, zone=0):
     """A zone is lost and restarts; each controller's endpoint list has the starts after a delay
     within the two bounds."""
-    names = [machine.name for machine in group.machines.values() if machine.zone == zone]
+    names = [machine.name for machine in group.servers.values() if machine.zone == zone]
     for name in names:
         group.stop(name)
-    group.go(duration_ms)
+    group.run_for(duration_ms)
     for name in names:
         group.start(name)
     min_delay_ms, max_delay_ms = listed_after_ms
-    group.tell_all(
+    group.send_list_to_all(
         core.ListScope.CHANGES,
-        [group.listing(name) for name in names],
-        lambda: min_delay_ms + (max_delay_ms - min_delay_ms) * group.chance.draw(),
+        [group.list_entry(name) for name in names],
+        lambda: min_delay_ms + (max_delay_ms - min_delay_ms) * group.random_numbers.draw(),
     )
     return names
 
@@ -37,7 +37,7 @@
 def test_servers_of_a_lost_zone_get_no_more_than_their_budget_when_they_restart(count):
     group = deployment(count)
     lose_zone(group, 5000.0, (1000.0, 2000.0))
-    group.go(6000.0)
+    group.run_for(6000.0)
     assert not breaches(group)
 
 
@@ -46,31 +46,31 @@
     # No report tells of so short a loss, so that only the listed starts limit their load.
     group = deployment(count)
     lose_zone(group, 200.0, (0.0, 100.0))
-    group.go(4000.0)
-    assert not breaches(group) and not group.falls
+    group.run_for(4000.0)
+    assert not breaches(group) and not group.overload_failures
 
 
 @pytest.mark.parametrize("count", COUNTS)
 def test_no_rule_is_broken_while_half_of_the_fleet_is_replaced_within_seconds(count):
     group = deployment(count)
-    names, wave_size = list(group.machines), SERVERS * 3 // 10
+    names, wave_size = list(group.servers), SERVERS * 3 // 10
     for wave in range(2):
-        successors = [group.add_machine(group.now).name for _ in range(wave_size)]
-        group.tell_all(
+        successors = [group.add_server(group.now).name for _ in range(wave_size)]
+        group.send_list_to_all(
             core.ListScope.CHANGES,
-            [group.listing(name) for name in successors],
-            lambda: 300.0 * group.chance.draw(),
+            [group.list_entry(name) for name in successors],
+            lambda: 300.0 * group.random_numbers.draw(),
         )
-        group.go(2000.0)
+        group.run_for(2000.0)
         predecessors = names[wave * wave_size :][:wave_size]
-        group.tell_all(
+        group.send_list_to_all(
             core.ListScope.CHANGES,
-            [group.listing(name, "draining") for name in predecessors],
-            lambda: 300.0 * group.chance.draw(),
+            [group.list_entry(name, "draining") for name in predecessors],
+            lambda: 300.0 * group.random_numbers.draw(),
         )
-        group.go(2000.0)
-    group.go(4000.0)
-    assert not breaches(group) and not group.falls
+        group.run_for(2000.0)
+    group.run_for(4000.0)
+    assert not breaches(group) and not group.overload_failures
 
 
 # Exclusive ownership
@@ -96,7 +96,7 @@
                 self.durations_ms.append(now_ms - self.cleared_ms.pop(order.slice.id))
 
 
-EXCLUSIVE_BOUNDS = Bounds(bare=MAX_EMPTY_TABLE_MS)
+EXCLUSIVE_BOUNDS = Bounds(empty_table_ms=MAX_EMPTY_TABLE_MS)
 
 
 def exclusive_deployment(count, bounds=EXCLUSIVE_BOUNDS, **changes):
@@ -111,29 +111,31 @@
         max_write_in_flight_ms=WRITE_IN_FLIGHT_MS,
         max_empty_table_ms=MAX_EMPTY_TABLE_MS,
         push_delay_ms=100.0,
-        group={"bounds": bounds, "ordered": handovers.observe},
+        group={"bounds": bounds, "on_orders": handovers.observe},
         **changes,
     )
     return group, handovers
 
 
 def drain(group, names):
-    group.tell_all(core.ListScope.CHANGES, [group.listing(name, "draining") for name in names])
+    group.send_list_to_all(
+        core.ListScope.CHANGES, [group.list_entry(name, "draining") for name in names]
+    )
 
 
 @pytest.mark.parametrize("count", [1, 5, 30])
 def test_proxies_that_restart_in_turn_neither_delay_handovers_nor_let_writes_overlap(count):
     # One just after each drain, so that its acknowledgement is due or its stream has just broken.
     group, handovers = exclusive_deployment(count)
-    names = iter(group.machines)
+    names = iter(group.servers)
     for k in range(8):
         drain(group, [next(names)])
         group.after(50.0 * (k % 6), lambda k=k: group.restart_proxy(k, 700.0))
-        group.go(1500.0)
-    group.go(6000.0)
+        group.run_for(1500.0)
+    group.run_for(6000.0)
     assert not breaches(group)
     assert handovers.durations_ms and not handovers.cleared_ms
-    acknowledged = max(replica.longest_answer for replica in group.replicas)
+    acknowledged = max(replica.max_acknowledgement_ms for replica in group.replicas)
     # A proxy may disconnect just before its acknowledgement, and writes on for its lease.
     assert (
         max(handovers.durations_ms)
@@ -143,15 +145,17 @@
 
 def test_the_next_primary_waits_for_a_proxy_that_gets_its_messages_late():
     # It sends to the draining servers meanwhile, so that their grace is longer than usual.
-    group, handovers = exclusive_deployment(1, Bounds(bare=MAX_EMPTY_TABLE_MS, grace=10_000.0))
+    group, handovers = exclusive_deployment(
+        1, Bounds(empty_table_ms=MAX_EMPTY_TABLE_MS, drain_grace_ms=10_000.0)
+    )
     plane = group.replicas[0].plane
-    drain(group, list(group.machines)[:6])
+    drain(group, list(group.servers)[:6])
     while not handovers.cleared_ms:
-        group.go(group.step)
-    late = plane.view(group.replicas[0].registry.proxy(0))
-    for message in [*plane.channel, *plane.travelling]:
-        message.arrives += 5000.0 if message.view is late else 0.0
-    group.go(12_000.0)
+        group.run_for(group.step_ms)
+    late = plane.proxy_state(group.replicas[0].registry.proxy(0))
+    for message in [*plane.channel, *plane.in_flight]:
+        message.arrives_at += 5000.0 if message.proxy is late else 0.0
+    group.run_for(12_000.0)
     assert not breaches(group) and handovers.durations_ms and not handovers.cleared_ms
 
 
@@ -159,10 +163,10 @@
 def test_a_controller_may_be_lost_during_its_handovers(lost_after_ms):
     # The store has no entry of these slices, while its proxies use the last table for their lease.
     group, handovers = exclusive_deployment(3)
-    drain(group, list(group.machines)[:6])
-    group.go(lost_after_ms)
-    group.lose(group.replicas[0])
-    group.go(9000.0)
+    drain(group, list(group.servers)[:6])
+    group.run_for(lost_after_ms)
+    group.lose_controller(group.replicas[0])
+    group.run_for(9000.0)
     assert not breaches(group) and handovers.durations_ms and not handovers.cleared_ms
 
 
@@ -171,14 +175,14 @@
     count,
 ):
     group, handovers = exclusive_deployment(count)
-    names = list(group.machines)
+    names = list(group.servers)
     drain(group, names[::10])
     for k in range(6):
-        group.go(500.0)
+        group.run_for(500.0)
         for number in list(group.demand)[k::20]:
-            group.hand_over(number, group.replicas[(number + k + 1) % count])
+            group.reassign_slice(number, group.replicas[(number + k + 1) % count])
         group.restart_proxy(k % PROXIES, 700.0)
-    group.go(9000.0)
+    group.run_for(9000.0)
     assert not breaches(group) and handovers.durations_ms and not handovers.cleared_ms
 
 
@@ -187,15 +191,17 @@
 def test_slices_of_a_lost_controller_and_proxies_that_connect_come_at_once(count, exclusive):
     group = exclusive_deployment(count)[0] if exclusive else deployment(count)
     for number in range(PROXIES):
-        group.part(number)
-    group.go(300.0)
-    group.lose(group.replicas[0])
+        group.disconnect_proxy(number)
+    group.run_for(300.0)
+    group.lose_controller(group.replicas[0])
     for number in range(PROXIES):
-        group.join(number)
-    drain(group, list(group.machines)[::10])
-    group.go(9000.0)
-    assert not breaches(group) and not group.falls
-    assert sum(len(replica.plane.charge) for replica in group.running()) == len(group.demand)
+        group.connect_proxy(number)
+    drain(group, list(group.servers)[::10])
+    group.run_for(9000.0)
+    assert not breaches(group) and not group.overload_failures
+    assert sum(len(replica.plane.assigned_slices) for replica in group.running()) == len(
+        group.demand
+    )
 
 
 # Faults of discovery
@@ -204,11 +210,11 @@
 def release(count):
     """Some servers drain, and the endpoint list has their successors."""
     group = deployment(count)
-    draining = list(group.machines)[::10]
+    draining = list(group.servers)[::10]
     drain(group, draining)
-    group.go(500.0)
-    successors = [group.add_machine(group.now).name for _ in draining]
-    group.tell_all(core.ListScope.CHANGES, [group.listing(name) for name in successors])
+    group.run_for(500.0)
+    successors = [group.add_server(group.now).name for _ in draining]
+    group.send_list_to_all(core.ListScope.CHANGES, [group.list_entry(name) for name in successors])
     return group, draining
 
 
@@ -227,39 +233,39 @@
 
 def complete_list(group, draining, without=()):
     return [
-        group.listing(name, "draining" if name in draining else "ready")
-        for name in group.machines
+        group.list_entry(name, "draining" if name in draining else "ready")
+        for name in group.servers
         if name not in without
     ]
 
 
 def send_incomplete_list(group, draining):
     """A list without the servers that drain, as if they were gone, and without two healthy ones."""
-    group.tell_all(
+    group.send_list_to_all(
         core.ListScope.COMPLETE,
-        complete_list(group, draining, without=draining + list(group.machines)[1:3]),
+        complete_list(group, draining, without=draining + list(group.servers)[1:3]),
     )
 
 
 def repeat_lists(group, draining):
     for _ in range(3):
         drain(group, draining)
-        group.tell_all(core.ListScope.COMPLETE, complete_list(group, draining))
-        group.go(300.0)
+        group.send_list_to_all(core.ListScope.COMPLETE, complete_list(group, draining))
+        group.run_for(300.0)
 
 
 def fail_twice(group, draining):
-    group.tell_all(core.ListScope.FAILED, [])
-    group.go(3000.0)
-    group.tell_all(core.ListScope.FAILED, [])
+    group.send_list_to_all(core.ListScope.FAILED, [])
+    group.run_for(3000.0)
+    group.send_list_to_all(core.ListScope.FAILED, [])
 
 
 def send_list_late(group, draining):
     """The complete list reaches each controller up to three seconds late."""
-    group.tell_all(
+    group.send_list_to_all(
         core.ListScope.COMPLETE,
         complete_list(group, draining),
-        lambda: 3000.0 * group.chance.draw(),
+        lambda: 3000.0 * group.random_numbers.draw(),
     )
 
 
@@ -268,5 +274,9 @@
 def test_drains_are_completed_through_faults_of_discovery_during_a_release(count, fault):
     group, draining = release(count)
     fault(group, draining)
-    group.go(5000.0)
-    assert not breaches(group) and not group.falls and unavailable_everywhere(group, draining)
+    group.run_for(5000.0)
+    assert (
+        not breaches(group)
+        and not group.overload_failures
+        and unavailable_everywhere(group, draining)
+    )
--- a/tests/lab/test_zone_lost.py
+++ b/tests/lab/test_zone_lost.py
@@ -7,14 +7,14 @@
 
 from havendyke.lab.controllers import ZONES
 from havendyke.lab.rules import Bounds
-from havendyke.lab.traffic import Sampling
+from havendyke.lab.server_load import Sampling
 
 LOST_FOR_MS = 5000.0
 MANY_PROXIES = 18
 # Sums over 6 s that arrive late.
-LATE = Sampling(period=2000.0, span=6000.0, zones=3, delay=800.0)
+LATE = Sampling(period_ms=2000.0, span_ms=6000.0, zones=3, delay_ms=800.0)
 # Most reports arrive after the servers have restarted.
-RARE = Sampling(period=12_000.0, span=12_000.0, zones=3, delay=800.0)
+RARE = Sampling(period_ms=12_000.0, span_ms=12_000.0, zones=3, delay_ms=800.0)
 EXCLUSIVE_OWNERSHIP = {
     "exclusive_ownership": True,
     "lease_ms": 800.0,
@@ -29,9 +29,9 @@
     # Slices must not move to servers of the lost zone that no report has named yet.
     group = deployment(count, seed)
     lose_zone(group, LOST_FOR_MS, (1000.0, 2000.0))
-    group.go(6000.0)
+    group.run_for(6000.0)
     assert not breaches(group)
-    assert [fall.server for fall in group.falls] == []
+    assert [fall.server for fall in group.overload_failures] == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -39,41 +39,44 @@
 def test_late_reports_show_the_loss_of_a_zone_before_that_of_each_server(seed, settings):
     # Evaluated one by one, servers of the zone would keep their slices for too long.
     group = deployment(
-        5, seed, group={"sampling": LATE, "bounds": Bounds(bare=12_000.0)}, **settings
+        5, seed, group={"sampling": LATE, "bounds": Bounds(empty_table_ms=12_000.0)}, **settings
     )
-    group.go(4000.0)
+    group.run_for(4000.0)
     lose_zone(group, LOST_FOR_MS, (1000.0, 2000.0))
-    group.go(6000.0)
+    group.run_for(6000.0)
     assert not breaches(group)
-    assert [fall.server for fall in group.falls] == []
+    assert [fall.server for fall in group.overload_failures] == []
 
 
 def test_slices_of_lost_controllers_leave_a_lost_zone_too():
     # No other controller has reports of these slices.
     group = deployment(
-        5, 1, group={"sampling": LATE, "bounds": Bounds(bare=12_000.0)}, **EXCLUSIVE_OWNERSHIP
+        5,
+        1,
+        group={"sampling": LATE, "bounds": Bounds(empty_table_ms=12_000.0)},
+        **EXCLUSIVE_OWNERSHIP,
     )
-    group.go(4000.0)
-    group.after(2000.0, lambda: [group.lose(replica) for replica in group.replicas[:2]])
+    group.run_for(4000.0)
+    group.after(2000.0, lambda: [group.lose_controller(replica) for replica in group.replicas[:2]])
     lose_zone(group, LOST_FOR_MS, (1000.0, 2000.0))
-    group.go(6000.0)
+    group.run_for(6000.0)
     assert not breaches(group)
-    assert [fall.server for fall in group.falls] == []
+    assert [fall.server for fall in group.overload_failures] == []
 
 
 def deployment_with_rare_reports(settings):
-    options = {"sampling": RARE, "bounds": Bounds(bare=12_000.0)}
+    options = {"sampling": RARE, "bounds": Bounds(empty_table_ms=12_000.0)}
     group = deployment(5, 1, servers=30, proxies=MANY_PROXIES, group=options, **settings)
-    group.go(4000.0)
+    group.run_for(4000.0)
     return group
 
 
 def lose_zone_with_its_proxies(group):
     for number in range(0, MANY_PROXIES, ZONES):
-        group.part(number)
-        group.after(LOST_FOR_MS, lambda number=number: group.join(number, fresh=True))
+        group.disconnect_proxy(number)
+        group.after(LOST_FOR_MS, lambda number=number: group.connect_proxy(number, fresh=True))
     lose_zone(group, LOST_FOR_MS, (1000.0, 2000.0))
-    group.go(6000.0)
+    group.run_for(6000.0)
 
 
 @pytest.mark.parametrize("settings", [{}, EXCLUSIVE_OWNERSHIP], ids=["shared", "exclusive"])
@@ -81,4 +84,4 @@
     group = deployment_with_rare_reports(settings)
     lose_zone_with_its_proxies(group)
     assert not breaches(group)
-    assert [fall.server for fall in group.falls] == []
+    assert [fall.server for fall in group.overload_failures] == []
--- a/tests/net/test_assigner.py
+++ b/tests/net/test_assigner.py
@@ -32,7 +32,7 @@
         assigner.registry.controller.reconcile,
         lambda now, events: 1 // 0,
     )
-    hub.pass_time(400)
+    hub.run_for(400)
     hub.run()
     assert hub.counters["failed_reconciliations"] >= 1
     assert (
@@ -42,7 +42,7 @@
     assigner.registry.controller.reconcile = reconcile
     assert assigner.registry.controller.reconcile(hub.now(), []) is not None
     before = hub.counters["reconciliations"]
-    hub.pass_time(800)
+    hub.run_for(800)
     assert hub.counters["reconciliations"] > before and assigner.timers_running == 1
 
 
@@ -57,7 +57,7 @@
     )
     assigner.reconcile()
     assigner.registry.controller.reconcile = reconcile
-    hub.pass_time(1000)
+    hub.run_for(1000)
     assert hub.counters["reconciliations"] > 3 and assigner.timers_running == 1
 
 
@@ -68,7 +68,7 @@
     piece, server = assigner.registry.slices[4], assigner.registry.servers["s2"]
     orders, number = sent_orders(hub.open("relay"))
     feed(hub.open("relay"), [{"id": number, "result": {"taken": len(orders[-1])}}])
-    hub.pass_time(700)
+    hub.run_for(700)
 
     apply = assigner.registry.controller.observed.apply
 
@@ -95,7 +95,7 @@
     connection = hub.open(name)
     feed(connection, junk)
     for _ in range(30):
-        hub.pass_time(100)
+        hub.run_for(100)
         if not connection.over:
             feed(connection, b"x")
     assert connection.over
--- a/tests/net/test_collectors.py
+++ b/tests/net/test_collectors.py
@@ -79,7 +79,7 @@
         core.ServerLoad(in_flight=7.0, cpu_share=0.61),
     )
     assert (shard.slice.id, shard.request_class, shard.requests) == (4, 1, 40)
-    hub.pass_time(15_000)
+    hub.run_for(15_000)
     assert connection.transport.written == b"" and not connection.over
     feed(connection, encode("PING"))
     assert connection.transport.written == b"*1\r\n$4\r\nPONG\r\n"
@@ -166,7 +166,7 @@
     stranger = connect_client(suspend_reconciliation(assigner))
     feed(stranger, sends)
     for _ in range(15):
-        hub.pass_time(100)
+        hub.run_for(100)
         if not stranger.over:
             feed(stranger, sends)
     assert stranger.over and len(hub.slots) == 0
@@ -178,7 +178,7 @@
     for connection in (half, good):
         feed(connection, encode("SOURCE", "az", "a"))
     for _ in range(60):
-        hub.pass_time(1000)
+        hub.run_for(1000)
         feed(good, encode(*SHARD))
     assert half.over and not good.over
 
@@ -191,7 +191,7 @@
     late = connect_client(assigner)
     feed(late, encode("SOURCE", "az", "b"))
     assert not collector.over and not late.over and [s.over for s in strangers].count(False) == 1
-    hub.pass_time(1600)
+    hub.run_for(1600)
     assert all(s.over for s in strangers) and not collector.over
 
 
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -16,14 +16,16 @@
 
 def open_queries(hub, follow):
     return [
-        c for c in hub.made if c.peer.name == "discovery" and c.peer.follow == follow and not c.over
+        c
+        for c in hub.connections
+        if c.peer.name == "discovery" and c.peer.follow == follow and not c.over
     ]
 
 
 def test_the_list_then_its_changes_are_told_once():
     assigner, hub = make_assigner()
     suspend_reconciliation(assigner).discovery.start()
-    for c in list(hub.made):
+    for c in list(hub.connections):
         hub.open("discovery")
         c.connection_made(type(hub.open("discovery").transport)()) if c.transport is None else None
     whole, (one, two) = open_queries(hub, False)[0], open_queries(hub, True)
@@ -54,13 +56,13 @@
     assert event.scope == core.ListScope.CHANGES and [
         (e.server.id, e.state) for e in event.entries
     ] == [("s2", "draining")]
-    hub.pass_time(400)
+    hub.run_for(400)
     hub.open("discovery")
     feed(
         open_queries(hub, False)[0], http_response(complete_list("s1", "s2", rev=4), chunked=False)
     )
     assert [e.scope for e in take_pending_events(assigner, core.EndpointListUpdate)] == ["complete"]
-    hub.pass_time(2000)
+    hub.run_for(2000)
     assert not open_queries(hub, False)
 
 
@@ -69,7 +71,7 @@
     suspend_reconciliation(assigner).discovery.open_watches()
     for _ in range(2):
         feed(hub.open("discovery"), http_response({"rev": 9, "all": False, "targets": []}))
-        hub.pass_time(2700)
+        hub.run_for(2700)
         assert b"follow=1&since=9" in hub.open("discovery").transport.written
     assert len(open_queries(hub, True)) == 2
 
@@ -89,5 +91,5 @@
     connection = hub.open("discovery")
     feed(connection, bad)
     assert connection.over and take_pending_events(assigner) == []
-    hub.pass_time(400)
+    hub.run_for(400)
     assert len(open_queries(hub, True)) == 2
--- a/tests/net/test_event_loop.py
+++ b/tests/net/test_event_loop.py
@@ -52,8 +52,8 @@
     assigner.discovery.start()
     assigner.relay.watch.start()
     assigner.health_checker.check(assigner.registry.servers["s1"])
-    hub.made[0].close("gone") if hub.made else assigner.collectors.clients[0].connection.close(
-        "gone"
-    )
-    hub.pass_time(1000)
-    assert any(isinstance(c, Connection) and not c.over for c in hub.made)
+    hub.connections[0].close("gone") if hub.connections else assigner.collectors.clients[
+        0
+    ].connection.close("gone")
+    hub.run_for(1000)
+    assert any(isinstance(c, Connection) and not c.over for c in hub.connections)
--- a/tests/net/test_fleet_summary.py
+++ b/tests/net/test_fleet_summary.py
@@ -2,12 +2,12 @@
 
 from controller_harness import ControllerHarness
 
-from havendyke.lab.hub import LabHub
+from havendyke.lab.event_loop import SimulatedEventLoop
 from havendyke.net.fleet_summary import FleetSummary
 
 
 def test_the_log_counts_slices_by_their_primarys_health_and_migrations_by_their_sources():
-    scene, fields, hub = ControllerHarness(), {}, LabHub()
+    scene, fields, hub = ControllerHarness(), {}, SimulatedEventLoop()
     hub.log = lambda event, **values: fields.update(values)
     summary = FleetSummary(hub, scene.controller)
     (healthy,) = scene.add_servers(1)
--- a/tests/net/test_health_checks.py
+++ b/tests/net/test_health_checks.py
@@ -7,10 +7,10 @@
 
 
 def wait_for_timeout(connection, hub):
-    hub.pass_time(600)
+    hub.run_for(600)
 
 
-ENDINGS = {
+CALL_OUTCOMES = {
     "refused": (core.HealthCheckOutcome.REFUSED, lambda c, hub: c.close("refused")),
     "unreachable": (core.HealthCheckOutcome.REFUSED, lambda c, hub: c.close("timeout")),
     "reset": (
@@ -50,13 +50,13 @@
 }
 
 
-@pytest.mark.parametrize("case", ENDINGS)
+@pytest.mark.parametrize("case", CALL_OUTCOMES)
 def test_each_end_of_a_health_check_has_its_outcome(case):
     assigner, hub = make_assigner()
     take_pending_events(suspend_reconciliation(assigner))
     assigner.health_checker.check(assigner.registry.servers["s1"])
-    connection = hub.open("health_checks", up=False)
-    outcome, act = ENDINGS[case]
+    connection = hub.open("health_checks", establish=False)
+    outcome, act = CALL_OUTCOMES[case]
     act(connection, hub)
     (event,) = take_pending_events(assigner)
     assert (event.outcome, connection.over, assigner.health_checker.in_flight) == (outcome, True, 0)
@@ -73,12 +73,12 @@
     assigner, hub = make_assigner(probes_open=2)
     for name in ("s1", "s2", "s3", "s3"):
         assigner.health_checker.check(assigner.registry.servers[name])
-    assert assigner.health_checker.in_flight == 2 and len(hub.made) == 2
+    assert assigner.health_checker.in_flight == 2 and len(hub.connections) == 2
     assert [said for said, _ in hub.logged].count("health_checks_queued") == 1
-    hub.made[0].close("refused")
+    hub.connections[0].close("refused")
     assert (
         assigner.health_checker.in_flight == 2
-        and len(hub.made) == 3
+        and len(hub.connections) == 3
         and not assigner.health_checker.queue
     )
 
@@ -89,4 +89,4 @@
     server = assigner.registry.servers["s1"]
     assigner.messages.endpoint_list.endpoints[server] = end
     assigner.health_checker.check(server)
-    assert hub.counters["health_checks_skipped"] == 1 and not hub.made
+    assert hub.counters["health_checks_skipped"] == 1 and not hub.connections
--- a/tests/net/test_list_checks.py
+++ b/tests/net/test_list_checks.py
@@ -40,8 +40,8 @@
         take_pending_events(self.assigner)
 
     def connections(self) -> list:
-        made = self.hub.standing("discovery")
-        return [self.hub.up(c) for c in made]
+        made = self.hub.open_connections("discovery")
+        return [self.hub.establish(c) for c in made]
 
     def wholes(self) -> list:
         return [c for c in self.connections() if not c.peer.follow]
@@ -66,19 +66,19 @@
         (connection,) = self.wholes()
         feed_bytes(connection, head(f"Content-Length: {len(body)}") + body)
 
-    def pass_time(self, ms, step=250.0):
+    def run_for(self, ms, step=250.0):
         """With the watches' empty lines."""
         end = self.hub.time + ms
         while self.hub.time < end:
             for watch in self.watches():
                 feed_bytes(watch, EMPTY)
-            self.hub.pass_time(min(step, end - self.hub.time))
+            self.hub.run_for(min(step, end - self.hub.time))
 
     def check(self):
         """The next check by version, its connection up."""
         end = self.hub.time + 3500.0
         while not self.checks() and self.hub.time < end:
-            self.pass_time(250.0)
+            self.run_for(250.0)
         (check,) = self.checks()
         return check
 
@@ -98,7 +98,7 @@
 def test_a_small_list_is_asked_for_whole_at_each_check():
     registry = Registry(SMALL)
     for _ in range(4):
-        registry.pass_time(3000)
+        registry.run_for(3000)
         assert not registry.checks()
         registry.answer_whole(SMALL)
     assert registry.count("list_unchanged") == 4
@@ -126,14 +126,14 @@
     check = registry.check()
     feed_bytes(check, CHUNKED + drain(4))
     assert check.over and registry.events() == [("changes", 1)] and registry.discovery.version == 4
-    registry.pass_time(150, step=50)
+    registry.run_for(150, step=50)
     assert registry.count("watches_stale") == 1 and not registry.wholes()[0].peer.may_reveal_restart
     registry.answer_whole(LARGE, rev=4)
     assert registry.events() == [("complete", LARGE)]
     # Said once, until a watch tells something again.
     for rev, logged in ((5, 1), (7, 2)):
         feed_bytes(registry.check(), CHUNKED + drain(rev))
-        registry.pass_time(150, step=50)
+        registry.run_for(150, step=50)
         registry.answer_whole(LARGE, rev=rev)
         assert registry.logged("watches_stale") == logged
         feed_bytes(registry.watches()[0], chunk(changes(rev + 1, listed_server("s5"))))
@@ -146,7 +146,7 @@
     feed_bytes(check, CHUNKED)
     for connection in (check, watch) if check_first else (watch, check):
         feed_bytes(connection, drain(4))
-    registry.pass_time(500)
+    registry.run_for(500)
     assert registry.events() == [("changes", 1)] and registry.count("list_already_known") == 1
     assert registry.count("watches_stale") == 0 and not registry.wholes()
 
@@ -157,7 +157,7 @@
     for watch in registry.watches():
         watch.close("reset")
     feed_bytes(check, CHUNKED + drain(4))
-    registry.hub.pass_time(200)
+    registry.hub.run_for(200)
     assert registry.events() == [("changes", 1)] and registry.count("watches_stale") == 0
 
 
@@ -180,7 +180,7 @@
     check = registry.check()
     for watch in registry.watches():
         watch.close("reset")
-    registry.hub.pass_time(400)
+    registry.hub.run_for(400)
     registry.answer_whole(LARGE, rev=3)  # its new start
     registry.events()
     feed_bytes(check, CHUNKED + drain(52))
@@ -192,23 +192,23 @@
     feed_bytes(registry.watches()[0], chunk(changes(50, listed_server("s3"))))
     for watch in registry.watches():
         watch.close("reset")
-    registry.hub.pass_time(400)
+    registry.hub.run_for(400)
     registry.answer_whole(LARGE, rev=3)
     registry.grant_watches()
     feed_bytes(registry.check(), CHUNKED + drain(4))
-    registry.pass_time(150, step=50)
+    registry.run_for(150, step=50)
     assert registry.count("watches_stale") == 1
 
 
 def silent(registry, check):
-    registry.pass_time(2700)
+    registry.run_for(2700)
 
 
 def half_a_line(registry, check):
     """Then a byte now and then, which must not keep it up."""
     feed_bytes(check, CHUNKED + chunk(b'{"rev":'))
     for _ in range(6):
-        registry.pass_time(450)
+        registry.run_for(450)
         feed_bytes(check, chunk(b" "))
 
 
@@ -261,7 +261,7 @@
     for _ in range(2):
         (connection,) = registry.wholes()
         feed_bytes(connection, head(f"Content-Length: {len(spoilt)}") + spoilt)
-        registry.pass_time(3000)
+        registry.run_for(3000)
     assert (
         registry.count("bad_entries") == 1 and not registry.wholes()
     )  # the same words again tell nothing
@@ -271,7 +271,7 @@
 def test_two_checks_are_never_under_way():
     registry = Registry(LARGE, discovery_check=500.0, discovery_bytes_per_s=1000.0)
     for _ in range(25):
-        registry.pass_time(250)
+        registry.run_for(250)
         assert len(registry.checks()) <= 1
     assert len(registry.wholes()) == 1 and not registry.checks()  # after two silent ones
 
@@ -279,9 +279,9 @@
 def test_no_check_by_version_beside_a_whole_list_under_way():
     registry = Registry(LARGE)
     registry.discovery.check_complete_list()
-    registry.pass_time(2000)
+    registry.run_for(2000)
     feed_bytes(registry.wholes()[0], CHUNKED)  # not silent
-    registry.pass_time(2000)
+    registry.run_for(2000)
     assert registry.wholes() and not registry.checks()
 
 
@@ -301,7 +301,7 @@
     registry.discovery.check_complete_list()
     registry.answer_whole(SMALL, rev=2)
     for _ in range(3):
-        registry.pass_time(3000)
+        registry.run_for(3000)
         assert not registry.checks()
         registry.answer_whole(SMALL, rev=2)
 
@@ -311,7 +311,7 @@
     size = registry.discovery.pace.size
     asked = []
     for _ in range(1000):
-        registry.pass_time(250)
+        registry.run_for(250)
         for check in registry.checks():
             feed_bytes(check, CHUNKED + EMPTY)
         if registry.wholes():
--- a/tests/net/test_relay_client.py
+++ b/tests/net/test_relay_client.py
@@ -64,11 +64,11 @@
     call = start_call(hub, suspend_reconciliation(assigner), weight_order(1, "s1"))
     for _ in range(3):
         feed(call, [{"id": sent_orders(call)[1], "error": {"code": -1, "message": "BUSY"}}])
-        hub.pass_time(60)
+        hub.run_for(60)
     assert [len(o) for o in sent_orders(call)[0]] == [1] * 4
     assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(False)]
     feed(call, [{"id": sent_orders(call)[1], "result": {"taken": 1}}])
-    hub.pass_time(60)
+    hub.run_for(60)
     assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(True)]
 
 
@@ -76,7 +76,7 @@
     assigner, hub = make_assigner()
     suspend_reconciliation(assigner).relay.start()
     feed(hub.open("relay_watch"), [SUCCESS_REPLY, SLICE_ASSIGNED, TABLE_ENTRY])
-    hub.pass_time(1000)
+    hub.run_for(1000)
     assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(False)]
     for proxy in range(1, 6):
         feed(
@@ -84,8 +84,8 @@
             [{"method": "SUBSCRIBE", "params": PROXY_CONNECTED["params"] | {"sidecar": proxy}}],
         )
         assert take_pending_events(assigner, core.PushChannelStatus) == []
-        hub.pass_time(40)
-    hub.pass_time(200)
+        hub.run_for(40)
+    hub.run_for(200)
     assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(True)]
 
 
@@ -101,7 +101,7 @@
         call = hub.open("relay")
         feed(call, [{"id": sent_orders(call)[1], "error": {"message": why}}])
     else:
-        hub.open("relay", up=False).close(why)
+        hub.open("relay", establish=False).close(why)
     events = take_pending_events(assigner)
     assert [type(e).__name__ for e in events] == [
         "PushChannelStatus",
@@ -111,11 +111,11 @@
     ] and events[3].unsent_nonces == (1,)
     assert assigner.relay.queue.orders == [AcknowledgementOrder(1, all_proxies=False)]
     assert assigner.relay.watch.slices.tables[4] == {"s1": 1.0}
-    hub.pass_time(60)
+    hub.run_for(60)
     again = hub.open("relay")
     feed(again, [{"id": sent_orders(again)[1], "result": {"taken": 1}}])
     assert take_pending_events(assigner, core.PushChannelStatus) == []
-    hub.pass_time(60)
+    hub.run_for(60)
     assert take_pending_events(assigner, core.PushChannelStatus) == [core.PushChannelStatus(True)]
 
 
@@ -137,7 +137,7 @@
                 else {"id": number, "result": {"taken": len(orders[-1])}}
             ],
         )
-        hub.pass_time(60)
+        hub.run_for(60)
     assert sorted(taken) == [0, 1, 3]
 
 
@@ -156,15 +156,15 @@
     assert "order_rejected" in dict(hub.logged)
 
 
-ENDINGS = {
+CALL_OUTCOMES = {
     "broken": lambda c, hub: c.close("reset"),
-    "silent": lambda c, hub: hub.pass_time(110),
+    "silent": lambda c, hub: hub.run_for(110),
     "unreadable": lambda c, hub: feed(c, b"{{{\n"),
     "idle": lambda c, hub: c.eof_received(),
 }
 
 
-@pytest.mark.parametrize("ending", ENDINGS)
+@pytest.mark.parametrize("ending", CALL_OUTCOMES)
 @pytest.mark.parametrize("carried", [True, False])
 def test_a_snapshot_resolves_a_call_with_unknown_outcome(ending, carried):
     # Repeated blindly, the orders could overfill the channel; dropped, they would be lost for good.
@@ -177,16 +177,16 @@
         weight_order(4, "s1", 0.0),
         AcknowledgementOrder(1, all_proxies=False),
     )
-    ENDINGS[ending](call, hub)
+    CALL_OUTCOMES[ending](call, hub)
     assigner.relay.order([weight_order(4, "s3")])
-    hub.pass_time(110)
+    hub.run_for(110)
     row = {
         "method": "ROW",
         "params": {"partition": 4, "host": "s2" if carried else "s1", "share": 1.0},
     }
     snapshot = snapshot_stream(hub)
     feed(snapshot, [SUCCESS_REPLY, SLICE_ASSIGNED, row])
-    hub.pass_time(100)
+    hub.run_for(100)
     again = hub.open("relay")
     assert [o.get("host") for o in sent_orders(again)[0][-1]] == (
         ["s3"] if carried else ["s2", "s1", None, "s3"]
@@ -206,7 +206,7 @@
     open_watch_stream(suspend_reconciliation(assigner), hub, PROXY_CONNECTED)
     mark = AcknowledgementOrder(7, all_proxies=True)
     start_call(hub, assigner, EjectionOrder("s1", ejected=True), mark).close("reset")
-    hub.pass_time(200)
+    hub.run_for(200)
     feed(hub.open("relay_watch"), [PUSH_ACKNOWLEDGED])
     relay = assigner.relay
     assert not relay.unresolved.is_pending and relay.queue.orders == []
@@ -217,7 +217,7 @@
     assigner, hub = make_assigner()
     out = EjectionOrder("s1", ejected=True)
     start_call(hub, suspend_reconciliation(assigner), out).close("reset")
-    hub.pass_time(110)
+    hub.run_for(110)
     assigner.relay.order([weight_order(1, "s2")])
     assert [o["op"] for o in sent_orders(hub.open("relay"))[0][0]] == ["OUT", "SET"]
     assert take_pending_events(assigner, core.PushChannelStatus) == []
@@ -228,7 +228,7 @@
     assigner, hub = make_assigner()
     open_watch_stream(suspend_reconciliation(assigner), hub, SLICE_ASSIGNED, TABLE_ENTRY)
     start_call(hub, assigner, weight_order(4, "s2")).close("reset")
-    hub.pass_time(110)
+    hub.run_for(110)
     feed(
         snapshot_stream(hub),
         [
@@ -238,7 +238,7 @@
             {"method": "ROW", "params": {"partition": 4, "host": "s2", "share": 1}},
         ],
     )
-    hub.pass_time(100)
+    hub.run_for(100)
     assert [e.connected for e in take_pending_events(assigner, core.PushChannelStatus)] == [
         False,
         True,
@@ -256,9 +256,9 @@
     start_call(hub, assigner, weight_order(4, "s1", 0.0004), weight_order(4, "s2", 8e-6)).close(
         "reset"
     )
-    hub.pass_time(110)
+    hub.run_for(110)
     feed(snapshot_stream(hub), [SUCCESS_REPLY, SLICE_ASSIGNED] + [table_entry(*r) for r in shown])
-    hub.pass_time(100)
+    hub.run_for(100)
     assert hub.counters.get("relay_found_carried_out", 0) == carried
     take_pending_events(assigner)
     open_watch_stream(assigner, hub, SLICE_ASSIGNED, *[table_entry(*r) for r in shown])
@@ -271,7 +271,7 @@
     assigner, hub = make_assigner()
     out = EjectionOrder("s1", ejected=True)
     start_call(hub, suspend_reconciliation(assigner), out).close("reset")
-    hub.pass_time(810)
+    hub.run_for(810)
     assert sent_orders(hub.open("relay"))[0] == [[{"op": "OUT", "host": "s1"}]]
 
 
@@ -332,7 +332,7 @@
         ],
     )
     assert not call.over and assigner.relay.call is None
-    hub.pass_time(1600)
+    hub.run_for(1600)
     assert call.over and assigner.relay.connection is None
 
 
--- a/tests/net/test_relay_watch.py
+++ b/tests/net/test_relay_watch.py
@@ -40,11 +40,14 @@
     suspend_reconciliation(assigner).relay.watch.start()
     assigner.relay.order([weight_order(1, "s1")])
     for _ in range(10 * seconds):
-        for c in hub.made:
+        for c in hub.connections:
             if c.transport is None and not c.over:
                 hub.open(c.peer.name)
-        hub.pass_time(100)
-    assert len([c for c in hub.made if not c.over]) <= 4 and len(hub.made) < 5 + 2 * seconds
+        hub.run_for(100)
+    assert (
+        len([c for c in hub.connections if not c.over]) <= 4
+        and len(hub.connections) < 5 + 2 * seconds
+    )
 
 
 def test_a_change_on_two_streams_is_reported_once():
@@ -58,7 +61,7 @@
         "SliceAssignment",
         "SnapshotEntry",
     ]
-    one, two = [c for c in hub.made if not c.over]
+    one, two = [c for c in hub.connections if not c.over]
     feed(two, [PROXY_DISCONNECTED, PROXY_CONNECTED, PUSH_ACKNOWLEDGED])
     feed(one, [PROXY_DISCONNECTED, PROXY_CONNECTED, PUSH_ACKNOWLEDGED, PROXY_DISCONNECTED])
     feed(two, [PROXY_DISCONNECTED])
@@ -85,10 +88,10 @@
         {"method": "GRANT", "params": {"partition": 5, "yes": True}},
     )
     take_pending_events(assigner)
-    hub.pass_time(2400)  # no ping
+    hub.run_for(2400)  # no ping
     changed = {"method": "ROW", "params": {"partition": 4, "host": "s2", "share": 1.0}}
     feed(hub.open("relay_watch"), [SUCCESS_REPLY, PROXY_CONNECTED, SLICE_ASSIGNED, changed])
-    hub.pass_time(100)
+    hub.run_for(100)
     events = take_pending_events(assigner)
     assert [type(e).__name__ for e in events] == [
         "ProxyDisconnected",
@@ -107,17 +110,17 @@
     assigner, hub = make_assigner()
     open_watch_stream(suspend_reconciliation(assigner), hub, PROXY_CONNECTED)
     open_watch_stream(assigner, hub, PROXY_CONNECTED)
-    one, two = [c for c in hub.made if c.peer.name == "relay_watch"]
+    one, two = [c for c in hub.connections if c.peer.name == "relay_watch"]
     for stream in (one, two):
         feed(stream, [{"method": "ping"}])
     take_pending_events(assigner)
-    hub.pass_time(1500)
+    hub.run_for(1500)
     if witness:
         feed(two, [{"method": "ping"}])
-    hub.pass_time(900)
+    hub.run_for(900)
     if not witness:
         feed(hub.open("relay_watch"), [SUCCESS_REPLY, PROXY_CONNECTED])
-    hub.pass_time(100)
+    hub.run_for(100)
     assert one.over and two.over != witness
     assert [type(e).__name__ for e in take_pending_events(assigner)] == (
         [] if witness else ["ProxyDisconnected", "ProxyConnected"]
@@ -142,7 +145,7 @@
         hub.open("relay_watch"),
         [{"method": "ROW", "params": {"partition": 4, "host": "s2", "share": 0.02}}, TABLE_ENTRY],
     )
-    hub.pass_time(100)
+    hub.run_for(100)
     assert {e.server.id for e in take_pending_events(assigner, core.SnapshotEntry)} == {"s1", "s2"}
 
 
@@ -199,13 +202,13 @@
     assigner, hub = make_assigner()
     suspend_reconciliation(assigner).relay.watch.start()
     for _ in range(200):
-        if any(c.peer.name == "relay_watch" and not c.over for c in hub.made):
+        if any(c.peer.name == "relay_watch" and not c.over for c in hub.connections):
             feed(
                 hub.open("relay_watch"),
                 [{"method": "GRANT", "params": {"partition": 1, "yes": "odd"}}],
             )
-        hub.pass_time(10)
-    assert 2 < len(hub.made) < 10
+        hub.run_for(10)
+    assert 2 < len(hub.connections) < 10
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_unresolved_call.py
+++ b/tests/net/test_unresolved_call.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from havendyke.lab.hub import LabHub
+from havendyke.lab.event_loop import SimulatedEventLoop
 from havendyke.net.relay_orders import WeightOrder
 from havendyke.net.unresolved_call import UnresolvedCall
 
@@ -37,19 +37,19 @@
     owner = Owner()
     call = UnresolvedCall(hub, watch, owner)
     call.begin(by_key(*orders), hub.now() + REPLY_DUE_MS)
-    hub.pass_time(2 * REPLY_DUE_MS)
+    hub.run_for(2 * REPLY_DUE_MS)
     return call, owner
 
 
 def test_a_call_that_waits_for_its_retry_goes_along_with_newer_orders():
     unchanged = WeightOrder(4, "s1", 1.0)  # the published table has it: no snapshot tells
-    call, owner = unresolved(LabHub(), unchanged)
+    call, owner = unresolved(SimulatedEventLoop(), unchanged)
     call.retry_with_newer_orders()
     assert owner.resolved == [([unchanged], False)]
 
 
 def test_the_retry_of_an_emptied_call_decides_nothing_about_the_next():
-    hub = LabHub()
+    hub = SimulatedEventLoop()
     call, owner = unresolved(hub, WeightOrder(4, "s1", 1.0))
     call.discard_slice(4)
     call.begin(by_key(WeightOrder(5, "s1", 0.5)), hub.now() + REPLY_DUE_MS)
@@ -61,7 +61,7 @@
     """Carries out each call or not, and answers requests for a snapshot when told to."""
 
     def __init__(self):
-        self.hub = LabHub()
+        self.hub = SimulatedEventLoop()
         self.tables = {k: {"s1": 1.0} for k in range(2)}
         self.snapshots = []
         slices = SimpleNamespace(tables={k: dict(t) for k, t in self.tables.items()})
@@ -89,7 +89,7 @@
         self.call.retry_with_newer_orders()
 
     def wait(self, slice_id, _, __):
-        self.hub.pass_time((15, 400)[slice_id])
+        self.hub.run_for((15, 400)[slice_id])
 
     def answer(self, *_):
         pending, self.snapshots[:] = self.snapshots[:], []
@@ -131,6 +131,6 @@
     for step, slice_id, changes, carried_out in steps:
         step(relay, slice_id, changes, carried_out)
     for _ in range(3):
-        relay.hub.pass_time(5000)
+        relay.hub.run_for(5000)
         relay.answer()
     assert not relay.call.is_pending
--- a/tests/recovery/test_directory.py
+++ b/tests/recovery/test_directory.py
@@ -8,7 +8,7 @@
 from recovery_states import commits
 
 from havendyke.interface import ServerState
-from havendyke.lab.disk import Died, LabDisk, Memory
+from havendyke.lab.disk import ProcessDied, SimulatedDisk, Storage
 from havendyke.recovery import records
 from havendyke.recovery.changes import SetServer
 from havendyke.recovery.codec import encode
@@ -28,7 +28,7 @@
             directory.commit(changes, state)
             acknowledged = number
         directory.close()
-    except Died:
+    except ProcessDied:
         pass
     return acknowledged
 
@@ -39,16 +39,16 @@
     made, seen, stop = commits(5), set(), 1
     states = [PersistedState()] + [state for _, state in made]
     while True:
-        memory = Memory()
-        disk = LabDisk(memory, stop_at=stop)
+        memory = Storage()
+        disk = SimulatedDisk(memory, die_at_call=stop)
         acknowledged = commit_all(disk, made, max_log_bytes)
         memory.crash(loss)
-        loaded = StateDirectory(LabDisk(memory)).open()
+        loaded = StateDirectory(SimulatedDisk(memory)).open()
         at = states.index(loaded.state)  # never a mix: it is one of those that were
         assert at >= acknowledged + 1, f"call {stop}: {acknowledged} acknowledged, {at - 1} loaded"
         # The generation that the load has begun is durable as well.
         memory.crash("all")
-        assert StateDirectory(LabDisk(memory)).open(write=False).state == loaded.state
+        assert StateDirectory(SimulatedDisk(memory)).open(write=False).state == loaded.state
         seen.add(at)
         if disk.calls < stop:
             break
@@ -58,14 +58,14 @@
 
 def small_directory():
     """The memory of a directory with three commits, and the states up to each."""
-    memory, made = Memory(), commits(3)
-    assert commit_all(LabDisk(memory), made, 1 << 20) == 2
+    memory, made = Storage(), commits(3)
+    assert commit_all(SimulatedDisk(memory), made, 1 << 20) == 2
     memory.locked = False
     return memory, [PersistedState()] + [state for _, state in made]
 
 
 def copied(memory):
-    copy = Memory()
+    copy = Storage()
     copy.live = {name: bytearray(data) for name, data in memory.live.items()}
     return copy
 
@@ -76,7 +76,7 @@
     for at in range(len(memory.live[name])):
         flipped = copied(memory)
         flipped.live[name][at] ^= 1 << at % 8
-        loaded = StateDirectory(LabDisk(flipped)).open()
+        loaded = StateDirectory(SimulatedDisk(flipped)).open()
         assert loaded.state in states, at
         found = loaded.state != states[-1] and len(loaded.findings) > 1
         assert found or (name == "log-1" and loaded.state == states[-1]), at
@@ -87,7 +87,7 @@
     for at in range(len(memory.live["log-1"])):
         cut = copied(memory)
         del cut.live["log-1"][at:]
-        assert StateDirectory(LabDisk(cut)).open(write=False).state in states[:-1]
+        assert StateDirectory(SimulatedDisk(cut)).open(write=False).state in states[:-1]
 
 
 def sealed(payload):
@@ -109,24 +109,24 @@
     ],
 )
 def test_a_damaged_snapshot_is_moved_aside_and_never_overwritten(data, reason):
-    memory = Memory()
+    memory = Storage()
     memory.live["snapshot-4"] = bytearray(data)
-    loaded = StateDirectory(LabDisk(memory)).open()
+    loaded = StateDirectory(SimulatedDisk(memory)).open()
     assert loaded.state == PersistedState() and reason in loaded.findings[0]
     assert bytes(memory.live["damaged-snapshot-4"]) == data and "snapshot-5" in memory.live
 
 
 def test_damaged_files_are_bounded_and_the_newest_stay():
-    memory = Memory()
+    memory = Storage()
     for number in range(1, 12):
         memory.live[f"snapshot-{number}"] = bytearray(b"bad")
-    StateDirectory(LabDisk(memory)).open()
+    StateDirectory(SimulatedDisk(memory)).open()
     damaged = sorted(name for name in memory.live if name.startswith("damaged"))
     assert damaged == sorted(f"damaged-snapshot-{number}" for number in range(7, 12))
 
 
 def test_a_snapshot_of_schema_1_is_read():
-    memory = Memory()
+    memory = Storage()
     record = ServerRecord("e", "a", "m", 0, ServerState.READY, 1.0, 0.0, 3, None)
     fields = encode(SetServer("s1", record))[1] | {"confirmed": 5}
     del fields["by"]
@@ -135,30 +135,30 @@
         records.header(1)
         + b"".join(records.frame(serial, *record, 1) for serial, record in enumerate(stored))
     )
-    server = StateDirectory(LabDisk(memory)).open(write=False).state.servers["s1"]
+    server = StateDirectory(SimulatedDisk(memory)).open(write=False).state.servers["s1"]
     assert server.source == "disk" and server.confirmed == Timestamp(5000.0, "", 0.0)
 
 
 def test_a_full_disk_keeps_nobody_from_starting_and_is_caught_up_with():
     memory, states = small_directory()
     made = commits(6)
-    disk = LabDisk(memory, full=0)
+    disk = SimulatedDisk(memory, free_bytes=0)
     directory = StateDirectory(disk)
     loaded = directory.open()
     assert loaded.state == states[-1] and "No space" in loaded.findings[-1]
     with pytest.raises(OSError):
         directory.commit(*made[3])
-    disk.full = None
+    disk.free_bytes = None
     directory.commit(*made[4])
     directory.close()
-    assert StateDirectory(LabDisk(memory)).open().state == made[4][1]
+    assert StateDirectory(SimulatedDisk(memory)).open().state == made[4][1]
 
 
 def test_a_read_only_directory_can_be_read():
     memory, states = small_directory()
     with pytest.raises(OSError):
-        StateDirectory(LabDisk(memory, read_only=True)).open()
-    read_only = StateDirectory(LabDisk(memory, read_only=True))
+        StateDirectory(SimulatedDisk(memory, read_only=True)).open()
+    read_only = StateDirectory(SimulatedDisk(memory, read_only=True))
     assert read_only.open(write=False).state == states[-1]
 
 
@@ -184,10 +184,10 @@
 
 
 def test_a_damaged_file_without_a_number_does_not_keep_another_from_being_moved_aside():
-    memory = Memory()
+    memory = Storage()
     memory.live["damaged-notes"] = bytearray(b"by hand")
     memory.live["snapshot-4"] = bytearray(b"nonsense")
-    StateDirectory(LabDisk(memory)).open()
+    StateDirectory(SimulatedDisk(memory)).open()
     assert "damaged-snapshot-4" in memory.live and "damaged-notes" in memory.live
 
 
@@ -196,8 +196,8 @@
         tombstones={uid: Tombstone(0.0, ServerState.DRAINING, 1, None) for uid in ("s1", "s2")}
     )
     unusable = {"uid": "s1", "boot": -1.0, "state": "gone", "lists": 2, "at": None}
-    memory = Memory()
-    directory = StateDirectory(LabDisk(memory))
+    memory = Storage()
+    directory = StateDirectory(SimulatedDisk(memory))
     directory.open()
     directory.rotate(state)
     directory.close()
@@ -208,7 +208,7 @@
             [(records.BEGIN, {"generation": directory.generation}), ("tomb", unusable)]
         )
     )
-    disk = LabDisk(memory)
+    disk = SimulatedDisk(memory)
     handle = disk.create(name)
     disk.write(handle, log + records.frame(2, records.END, {}))
     disk.close(handle)
@@ -223,7 +223,7 @@
     memory, states = small_directory()
     memory.live[name] = bytearray(b"by hand")
     for _ in range(4):
-        directory = StateDirectory(LabDisk(memory))
+        directory = StateDirectory(SimulatedDisk(memory))
         assert directory.open().state == states[-1]
         directory.close()
     assert memory.live[name] == b"by hand"
@@ -234,7 +234,7 @@
     memory, states = small_directory()
     memory.live["snapshot-999999999999999"] = memory.live["snapshot-1"]
     for _ in range(3):
-        directory = StateDirectory(LabDisk(memory))
+        directory = StateDirectory(SimulatedDisk(memory))
         loaded = directory.open()
         directory.close()
     assert loaded.state == states[-1] and "goes by snapshot-1000000000000001" in loaded.findings[-1]
--- a/tests/recovery/test_recovered_starts.py
+++ b/tests/recovery/test_recovered_starts.py
@@ -5,9 +5,9 @@
 
 from havendyke import config
 from havendyke import interface as core
-from havendyke.lab.disk import InlineWriter, LabDisk
-from havendyke.lab.hub import feed
-from havendyke.lab.life import Life
+from havendyke.lab.disk import InlineWriter, SimulatedDisk
+from havendyke.lab.event_loop import feed
+from havendyke.lab.host import AssignerHost
 from havendyke.net.resp import encode
 from havendyke.recovery.codec import MAX_WEIGHT
 from havendyke.recovery.durable_state import DurableState, StateOptions
@@ -19,7 +19,7 @@
 COLDNESS = {"obligations": {"cold": 16e9, "coldFrom": 0.2, "overloadFactor": 3.0}}
 
 
-class RestartedLife(Life):
+class RestartedLife(AssignerHost):
     def __init__(self):
         super().__init__(
             raw_config(settings=SETTINGS | COLDNESS),
@@ -27,16 +27,16 @@
         )
 
     def grades(self):
-        return {s.id: s.health for s in self.world.assigner.registry.controller.servers}
+        return {s.id: s.health for s in self.simulation.assigner.registry.controller.servers}
 
 
 def lived(discovery=True, **entries):
     life = RestartedLife()
     w = life.start()
-    w.pass_time(5000)
+    w.run_for(5000)
     for uid, state in entries.items():
-        w.registry.change(**{uid: {"state": state}})
-        w.pass_time(3000)
+        w.discovery.change(**{uid: {"state": state}})
+        w.run_for(3000)
     return life
 
 
@@ -54,23 +54,23 @@
     later, same_boot, expected
 ):
     life = lived()
-    life.cut(later, same_boot)
+    life.crash(later, same_boot)
     w = life.start(discovery=False)
-    w.pass_time(200)
+    w.run_for(200)
     assert set(life.grades().values()) == {expected}
-    w.pass_time(8000)
+    w.run_for(8000)
     held = [p for p in w.assigner.registry.controller.slices if p.assigned]
     assert len(held) == 8 and all(p.published for p in held)
     assert not w.disagreements()
     # A server that dies then loses its slices by its health checks alone.
-    w.pass_time(10_000)
+    w.run_for(10_000)
     assert all(len(table) >= 1 for table in w.relay.store.values())
 
 
 def test_without_a_persisted_state_no_server_is_known():
     life = RestartedLife()
     w = life.start(discovery=False)
-    w.pass_time(8000)
+    w.run_for(8000)
     assert not w.assigner.registry.controller.servers or all(
         not s.state for s in w.assigner.registry.controller.servers
     )
@@ -80,10 +80,10 @@
 def test_traffic_does_not_return_to_a_server_that_drained_before_the_cut(state):
     life = lived(s2=state)
     assert not any("s2" in table for table in life.store.values())
-    life.cut(60_000.0)
+    life.crash(60_000.0)
     life.store[1] = {"s2": 1.0}  # the store's lines of another controller still name it
     w = life.start(discovery=False)
-    w.pass_time(6000)
+    w.run_for(6000)
     assert life.grades().get("s2", UNAVAILABLE) == UNAVAILABLE  # let go of, once nothing names it
     out = {s.id for s in w.assigner.registry.controller.servers if s.ejected}
     assert "s2" not in w.relay.store[1] or "s2" in out
@@ -91,69 +91,69 @@
 
 def test_discovery_that_comes_back_with_an_older_list_does_not_undo_a_drain():
     life = lived(s2="terminating")
-    version = life.world.registry.version
-    life.cut(60_000.0)
+    version = life.simulation.discovery.version
+    life.crash(60_000.0)
     w = life.start(discovery=False)
-    w.pass_time(3000)
-    w.registry.entries["s2"] = listed_server("s2")
-    w.registry.version = version - 1
-    w.registry.down = False
-    w.pass_time(5000)
+    w.run_for(3000)
+    w.discovery.entries["s2"] = listed_server("s2")
+    w.discovery.version = version - 1
+    w.discovery.down = False
+    w.run_for(5000)
     assert (
         life.grades()["s2"] == UNAVAILABLE and life.durable.tracker.counts["tombstones_upheld"] > 0
     )
-    w.registry.version = version
-    w.registry.change(s2={"state": "in_service"})
-    w.pass_time(3000)
+    w.discovery.version = version
+    w.discovery.change(s2={"state": "in_service"})
+    w.run_for(3000)
     assert life.grades()["s2"] == HEALTHY
 
 
 def test_a_server_that_came_back_with_a_later_start_warms_up_and_is_not_drained():
     life = lived(s2="terminating")
-    life.cut(60_000.0)
+    life.crash(60_000.0)
     w = life.start(discovery=False)
-    w.pass_time(1000)
-    w.registry.change(s2={"state": "in_service", "boot_ms": round(life.wall)})
-    w.registry.version += 5
-    w.registry.down = False
-    w.pass_time(2000)
+    w.run_for(1000)
+    w.discovery.change(s2={"state": "in_service", "boot_ms": round(life.wall)})
+    w.discovery.version += 5
+    w.discovery.down = False
+    w.run_for(2000)
     assert life.grades()["s2"] == WARMING_UP
 
 
 def test_a_server_that_discovery_confirms_is_warm_at_once():
     life = lived()
-    life.cut(7 * DAY)
+    life.crash(7 * DAY)
     w = life.start(discovery=False)
-    w.pass_time(1000)
+    w.run_for(1000)
     assert set(life.grades().values()) == {WARMING_UP}
-    w.registry.down = False
-    w.pass_time(3000)
+    w.discovery.down = False
+    w.run_for(3000)
     assert set(life.grades().values()) == {HEALTHY}
 
 
 @pytest.mark.parametrize("later", [2000.0, 7 * DAY])
 def test_dead_servers_of_the_persisted_list_lose_their_slices(later):
     life = lived()
-    life.cut(later)
+    life.crash(later)
     w = life.start(discovery=False)
-    w.refused = {1000, 1001, 1002}
-    w.pass_time(9000)
+    w.refused_ports = {1000, 1001, 1002}
+    w.run_for(9000)
     for number, table in w.relay.store.items():
-        open_to = set(table) - w.relay.shut[0]
+        open_to = set(table) - w.relay.ejected[0]
         assert open_to and not open_to & {"s1", "s2", "s3"}, number
 
 
 def test_only_successful_requests_tell_a_server_from_another_machine_at_its_address():
     # Whoever has the address now passes the health checks: they raise trust to a quarter at most.
     life = lived()
-    life.cut(7 * DAY)
+    life.crash(7 * DAY)
     w = life.start(discovery=False)
-    w.pass_time(3000)
+    w.run_for(3000)
     unconfirmed = life.durable.tracker.reconciler.unconfirmed_trust
     assert all(unconfirmed[n] <= 0.25 for n in NAMES) and set(life.grades().values()) == {
         WARMING_UP
     }
-    collector = w.collector("a")
+    collector = w.connect_collector("a")
     for _ in range(3):
         feed(
             collector,
@@ -177,7 +177,7 @@
             collector,
             encode("LOAD", "az", "a", "host", "s5", "n", "40", "bad", "40", "window", "1000.0"),
         )
-        w.pass_time(1000)
+        w.run_for(1000)
     assert unconfirmed["s4"] > 0.5 and unconfirmed["s5"] <= 0.25
     c = w.assigner.registry.controller
     assert all(
@@ -187,13 +187,13 @@
 
 def test_starts_in_quick_succession_warm_no_server_early_and_push_no_more():
     life, grades, pushes = lived(), [], []
-    life.cut(7 * DAY)
+    life.crash(7 * DAY)
     for _ in range(24):
         w = life.start(discovery=False)
-        w.pass_time(900)
+        w.run_for(900)
         grades.append(min(life.grades().values()))
-        pushes.append(sum(event == "push" for event, _ in w.hub.logged))
-        life.cut(100.0)
+        pushes.append(sum(event == "push" for event, _ in w.event_loop.logged))
+        life.crash(100.0)
     assert (
         grades[0] == WARMING_UP and grades[8] == WARMING_UP and grades[-1] == HEALTHY
     )  # 16 s of warmth, over all starts together
@@ -204,33 +204,33 @@
     "fault, said",
     [
         (dict(read_only=True), "Read-only"),
-        (dict(full=0), "No space"),
+        (dict(free_bytes=0), "No space"),
         (dict(sync_fails=True), "Input/output"),
     ],
 )
 def test_a_disk_at_fault_keeps_nobody_from_starting(fault, said):
     life = lived(s2="terminating")
-    life.cut(60_000.0)
-    disk = LabDisk(life.memory, **fault)
+    life.crash(60_000.0)
+    disk = SimulatedDisk(life.storage, **fault)
     w = life.start(disk=disk, discovery=False)
-    w.pass_time(6000)
+    w.run_for(6000)
     assert life.grades()["s2"] == UNAVAILABLE and len(life.grades()) >= 6
     assert any(
         said in str(more)
-        for event, more in w.hub.logged
+        for event, more in w.event_loop.logged
         if event in ("state_directory", "state_not_persisted")
     )
 
 
 def test_a_directory_that_another_process_has_is_only_read():
     life = lived()
-    life.memory.crash("all")
-    life.memory.locked = True
+    life.storage.crash("all")
+    life.storage.locked = True
     events = []
     made = DurableState(
         StateOptions("/"),
         lambda event, **more: events.append((event, more)),
-        LabDisk(life.memory),
+        SimulatedDisk(life.storage),
         lambda: Timestamp(1.7e12, "b", 1.0),
         InlineWriter,
     )
@@ -239,9 +239,9 @@
 
 def test_a_recovery_goes_on_over_a_reload():
     life = lived()
-    life.cut(3_600_000.0)
+    life.crash(3_600_000.0)
     w = life.start(discovery=False)
-    w.pass_time(100)
+    w.run_for(100)
     w.assigner.reload(
         config.read_config(
             raw_config(
@@ -252,9 +252,9 @@
             {},
         )
     )
-    w.pass_time(4000)
-    w.registry.down = False
-    w.pass_time(6000)
+    w.run_for(4000)
+    w.discovery.down = False
+    w.run_for(6000)
     assert set(life.grades().values()) == {HEALTHY} and not w.disagreements()
 
 
@@ -270,50 +270,52 @@
 )
 def test_discovery_that_answers_garbage_counts_as_down(garbage):
     life = lived(s2="terminating")
-    life.cut(3_600_000.0)
+    life.crash(3_600_000.0)
     w = life.start(discovery=False)
-    w.registry.down, w.registry.garbage = False, garbage
-    w.pass_time(8000)
+    w.discovery.down, w.discovery.garbage_reply = False, garbage
+    w.run_for(8000)
     assert (
         life.grades()["s2"] == UNAVAILABLE
         and sum(g >= WARMING_UP for g in life.grades().values()) == 5
     )
-    w.registry.garbage = b""
-    w.pass_time(6000)
+    w.discovery.garbage_reply = b""
+    w.run_for(6000)
     assert {g for n, g in life.grades().items() if n != "s2"} == {HEALTHY} and not w.disagreements()
 
 
 def test_a_start_survives_a_torn_last_record_and_a_restart_of_the_relay():
     life = lived(s2="terminating")
-    log = max(n for n in life.memory.durable if n.startswith("log"))
-    life.memory.durable[log] = life.memory.durable[log][:-5]
-    life.memory.live[log] = bytearray(life.memory.durable[log])
-    life.cut(1000.0)
+    log = max(n for n in life.storage.durable if n.startswith("log"))
+    life.storage.durable[log] = life.storage.durable[log][:-5]
+    life.storage.live[log] = bytearray(life.storage.durable[log])
+    life.crash(1000.0)
     w = life.start(discovery=False)
-    w.pass_time(300)
+    w.run_for(300)
     for peer in w.relay.peers:
         peer.close()
-    w.pass_time(9000)
+    w.run_for(9000)
     assert (
         not w.disagreements() and len([g for g in life.grades().values() if g >= WARMING_UP]) >= 5
     )
-    assert any("torn" in str(more) for event, more in w.hub.logged if event == "state_directory")
+    assert any(
+        "torn" in str(more) for event, more in w.event_loop.logged if event == "state_directory"
+    )
 
 
 def test_figures_out_of_bounds_cost_neither_the_reconciliation_nor_the_list():
     life = lived()
-    w = life.world
-    w.registry.version = 2**62
-    w.registry.change(s3={"state": "terminating", "boot_ms": 1e300, "pod_group": 10**18})
-    w.pass_time(3000)
+    w = life.simulation
+    w.discovery.version = 2**62
+    w.discovery.change(s3={"state": "terminating", "boot_ms": 1e300, "pod_group": 10**18})
+    w.run_for(3000)
     assert (
         life.grades()["s3"] == UNAVAILABLE
         and not w.disagreements()
-        and not w.hub.counters.get("failures")
+        and not w.event_loop.counters.get("failures")
     )
-    assert not any(event == "state_not_persisted" for event, _ in w.hub.logged)
-    life.cut(1000.0)
-    life.start(discovery=False).pass_time(1000)
+    assert not any(event == "state_not_persisted" for event, _ in w.event_loop.logged)
+    life.crash(1000.0)
+    life.start(discovery=False).run_for(1000)
     assert life.grades()["s3"] == UNAVAILABLE
 
 
@@ -329,9 +331,9 @@
     # The counters were not printed, and changes of before were not waited for.
     life = lived()
     tracker = life.durable.tracker
-    slice_ = next(s for s in life.world.assigner.registry.controller.slices if s.assigned)
-    slice_.published = {life.world.assigner.registry.server("s1"): 10 * MAX_WEIGHT}
+    slice_ = next(s for s in life.simulation.assigner.registry.controller.slices if s.assigned)
+    slice_.published = {life.simulation.assigner.registry.server("s1"): 10 * MAX_WEIGHT}
     tracker.record([core.SliceAssignment(slice_, True)], [])
     life.durable.close()
-    assert life.world.hub.logged[-1][0] == "state_not_persisted"
-    assert not life.memory.locked
+    assert life.simulation.event_loop.logged[-1][0] == "state_not_persisted"
+    assert not life.storage.locked
--- a/tests/recovery/test_writer.py
+++ b/tests/recovery/test_writer.py
@@ -5,7 +5,7 @@
 
 from recovery_states import commits
 
-from havendyke.lab.disk import LabDisk, Memory
+from havendyke.lab.disk import SimulatedDisk, Storage
 from havendyke.recovery import records
 from havendyke.recovery.changes import RemoveServer, SetListVersion, SetServer
 from havendyke.recovery.directory import StateDirectory
@@ -14,8 +14,8 @@
 
 
 def test_a_slow_disk_gathers_changes_and_a_failing_one_is_caught_up_with():
-    memory, logged = Memory(), []
-    disk = LabDisk(memory, slow=lambda call: time.sleep(0.05) if call == "sync" else None)
+    memory, logged = Storage(), []
+    disk = SimulatedDisk(memory, on_call=lambda call: time.sleep(0.05) if call == "sync" else None)
     directory = StateDirectory(disk)
     writer = StateWriter(
         directory,
@@ -37,13 +37,13 @@
     assert logged[0] == "state_not_persisted" and logged[-1] == "state_persisted_again"
     writer.stop(5)
     directory.close()
-    assert StateDirectory(LabDisk(memory)).open().state == state
+    assert StateDirectory(SimulatedDisk(memory)).open().state == state
 
 
 def test_a_record_that_is_too_large_to_store_does_not_end_the_writer():
     # Every later change was lost, and nothing was logged.
-    memory, logged = Memory(), []
-    directory = StateDirectory(LabDisk(memory))
+    memory, logged = Storage(), []
+    directory = StateDirectory(SimulatedDisk(memory))
     writer = StateWriter(
         directory,
         directory.open().state,
@@ -64,5 +64,5 @@
     assert writer.wait_until_committed(10) and logged[-1][0] == "state_persisted_again"
     writer.stop(5)
     directory.close()
-    loaded = StateDirectory(LabDisk(memory)).open()
+    loaded = StateDirectory(SimulatedDisk(memory)).open()
     assert loaded.state == state and len(loaded.findings) == 1
--- a/tests/test_cold_figures.py
+++ b/tests/test_cold_figures.py
@@ -93,7 +93,7 @@
     suspend_reconciliation(assigner)
     first = {e.server.id: e.started_ms for e in changes(assigner, s1=9e15, s2=5500).entries}
     assert first == {"s1": hub.now(), "s2": 500.0}
-    hub.pass_time(5000)
+    hub.run_for(5000)
     again = {e.server.id: e.started_ms for e in changes(assigner, s1=9e15, s2=5500).entries}
     assert again == first
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -186,7 +186,7 @@
         for event in events:
             assigner.notify(event)
         assigner.event_loop.run()
-        assigner.event_loop.pass_time(1500.0)
+        assigner.event_loop.run_for(1500.0)
     assert not assigner.event_loop.counters.get(
         "failed_reconciliations"
     ) and not assigner.event_loop.counters.get("failures"), assigner.event_loop.logged
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -70,7 +70,9 @@
 
 def at(hub, name, host):
     """The open connections of these peers at an address, brought up."""
-    made = [c for c in hub.made if c.peer.name == name and not c.over and c.address[0] == host]
+    made = [
+        c for c in hub.connections if c.peer.name == name and not c.over and c.address[0] == host
+    ]
     for c in made:
         if c.transport is None:
             c.connection_made(Transport())
@@ -94,11 +96,11 @@
     assert not old.over
     (new,) = at(hub, "relay_watch", "127.0.0.2")
     feed(new, [SUCCESS_REPLY, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY])
-    hub.pass_time(100)
+    hub.run_for(100)
     assert not old.over
-    hub.pass_time(1000)
+    hub.run_for(1000)
     hub.run()
-    assert [c for c in hub.made if c.peer.name == "relay_watch" and not c.over] == [new]
+    assert [c for c in hub.connections if c.peer.name == "relay_watch" and not c.over] == [new]
     assert [type(e).__name__ for e in take_pending_events(assigner)] == ["PushAcknowledged"]
     feed(new, [PROXY_DISCONNECTED])
     assert [type(e).__name__ for e in take_pending_events(assigner)] == ["ProxyDisconnected"]
@@ -116,9 +118,9 @@
         at(hub, "relay_watch", "127.0.0.2")[0],
         [SUCCESS_REPLY, PROXY_CONNECTED, SLICE_ASSIGNED, TABLE_ENTRY],
     )
-    hub.pass_time(100)
+    hub.run_for(100)
     old.close("ended")
-    hub.pass_time(1000)
+    hub.run_for(1000)
     assert take_pending_events(assigner) == []
 
 
@@ -137,7 +139,7 @@
         feed(old, [{"id": sent_orders(old)[1], "result": {"taken": 1}}])
     elif ends == "broken":
         old.close("reset")
-        hub.pass_time(900)
+        hub.run_for(900)
     (new,) = at(hub, "relay", "127.0.0.2")
     hub.run()
     assert old.over and [o["table"] for o in sent_orders(new)[0][-1]] == (
@@ -166,7 +168,7 @@
     )
     feed(whole, http_response(complete_list("s1", rev=4), chunked=False))
     assert [e.scope for e in take_pending_events(assigner, core.EndpointListUpdate)] == ["complete"]
-    hub.pass_time(600)
+    hub.run_for(600)
     hub.run()
     assert old.over and not watch.over and assigner.discovery.queries == [watch.peer]
 
@@ -222,7 +224,7 @@
         discovery.check()
     watch.close("reset")  # discovery itself may have gone, and begun its versions anew
     if lost == "before the look":
-        hub.pass_time(400)
+        hub.run_for(400)
     feed(whole_of(hub), old)
     assert discovery.version == 2
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -9,7 +9,7 @@
 from fuzz import registry
 from havendyke import config
 from havendyke import interface as core
-from havendyke.lab.peers import World
+from havendyke.lab.peers import Simulation
 from havendyke.net.assigner import Assigner
 
 registry.load()
@@ -21,7 +21,7 @@
 
 
 def world(*names):
-    deployment = World(
+    deployment = Simulation(
         lambda hub: Assigner(config.read_config(raw_config(known=complete_list(*names)), {}), hub),
         {
             slice_id: {names[slice_id % len(names)]: 1.0}
@@ -36,7 +36,7 @@
 def test_many_generations_of_servers_leave_nothing_behind():
     current = [f"s{k}" for k in range(6)]
     w = world(*current)
-    w.pass_time(1000)
+    w.run_for(1000)
     sizes = []
     for generation in range(12):
         fresh = [f"g{generation}-{k}" for k in range(6)]
@@ -45,8 +45,8 @@
             (current, "terminating"),
             (current, "terminated"),
         ):
-            w.registry.change(**{n: listed_server(n, state) for n in names})
-            w.pass_time(8000)
+            w.discovery.change(**{n: listed_server(n, state) for n in names})
+            w.run_for(8000)
         current, a = fresh, w.assigner
         sizes.append(
             [
@@ -65,7 +65,7 @@
         and len(w.assigner.registry.ejected_ids) <= 72
     )
     assert {n for table in w.relay.store.values() for n in table} <= set(current)
-    assert w.hub.counters["servers_forgotten"] > 50 and not w.disagreements()
+    assert w.event_loop.counters["servers_forgotten"] > 50 and not w.disagreements()
 
 
 @pytest.mark.parametrize("ejected", [False, True])
@@ -87,42 +87,42 @@
 def test_an_idle_deadline_of_a_broken_connection_does_not_end_the_next():
     # The next connection would end while it comes up, and its orders would wait without end.
     w = world("s1", "s2")
-    w.pass_time(1000)
+    w.run_for(1000)
     relay = w.assigner.relay
-    w.relay.ending = "silent_undone"
-    w.registry.change(s1={"state": "terminating"})
-    w.pass_time(30)
-    w.relay.ending = "well"
+    w.relay.call_outcome = "silent_undone"
+    w.discovery.change(s1={"state": "terminating"})
+    w.run_for(30)
+    w.relay.call_outcome = "well"
     broken = relay.connection
     while relay.connection in (broken, None):
-        w.pass_time(1)
+        w.run_for(1)
     relay.close_idle()  # as the old one's deadline did
-    w.pass_time(5000)
+    w.run_for(5000)
     assert not relay.queue.orders and not w.disagreements()
 
 
 def test_entries_of_an_assignment_during_a_call_are_compared_again():
     # The call may be carried out on the new entries after the notification, and unnoticed.
     w = world(*(f"s{k}" for k in range(1, 7)))
-    w.pass_time(1500)
-    w.registry.change(s1={"state": "terminating"})
-    w.hub.run()
-    w.relay.taken(0)
-    w.relay.gives(0, {"s1": 1.0})
-    w.pass_time(6000)
-    assert w.hub.counters["snapshot_differs"] >= 1 and not w.disagreements()
+    w.run_for(1500)
+    w.discovery.change(s1={"state": "terminating"})
+    w.event_loop.run()
+    w.relay.unassign_slice(0)
+    w.relay.assign_slice(0, {"s1": 1.0})
+    w.run_for(6000)
+    assert w.event_loop.counters["snapshot_differs"] >= 1 and not w.disagreements()
 
 
 def test_discovery_that_restarts_up_to_the_known_version_is_asked_for_the_complete_list():
     w = world("s1", "s2", "s3")
-    w.pass_time(1000)
+    w.run_for(1000)
     for _ in range(2):
-        w.registry.change(s1={"state": "terminating"})
-        w.hub.run()
-    w.registry.restart()
+        w.discovery.change(s1={"state": "terminating"})
+        w.event_loop.run()
+    w.discovery.restart()
     for _ in range(2):
-        w.registry.change(s1={"state": "in_service"})
-    assert w.registry.version == w.assigner.discovery.version == 3
-    w.pass_time(3000)
+        w.discovery.change(s1={"state": "in_service"})
+    assert w.discovery.version == w.assigner.discovery.version == 3
+    w.run_for(3000)
     scene = ControllerHarness.wrap(w.assigner.registry.controller)
     assert {s.id: scene.listed_state(s) for s in scene.servers}["s1"] == "ready"
