--- a/havendyke/policy/pacing.py
+++ b/havendyke/policy/pacing.py
@@ -16,12 +16,12 @@
     def __init__(self, settings: Settings) -> None:
         self._slice_count = settings.slice_count
         self._controller_count = settings.controller_count
-        self._settled_push = 0
+        self._settled_serial = 0
         self.controllers_per_server = 1.0
 
     def update(self, proxies: Iterable[Proxy], ready_server_count: int) -> None:
         """Updates both from the acknowledgements and the size of the fleet."""
-        self._settled_push = serial_acknowledged_by(proxies, SETTLED_TRAFFIC_SHARE)
+        self._settled_serial = serial_acknowledged_by(proxies, SETTLED_TRAFFIC_SHARE)
         slices_per_server = self._slice_count / max(ready_server_count, 1)
         self.controllers_per_server = min(self._controller_count, max(1.0, slices_per_server))
 
@@ -29,4 +29,4 @@
         """Whether the slice's last change has taken effect, so that it may migrate again."""
         if slice_.last_push_serial is None:
             return slice_.desired == slice_.published
-        return slice_.last_push_serial <= self._settled_push
+        return slice_.last_push_serial <= self._settled_serial
--- a/tests/policy/test_push_scheduler.py
+++ b/tests/policy/test_push_scheduler.py
@@ -91,7 +91,7 @@
 
 
 def test_an_acknowledgement_is_requested_from_a_proxy_that_reconnects():
-    # Without one, no slice would ever count as settled.
+    # Without one, its slices would never count as settled.
     harness = ControllerHarness()
     former, following = harness.add_servers(2)
     (slice_,) = harness.add_slices([former])
