--- a/havendyke/lab/cold_start.py
+++ b/havendyke/lab/cold_start.py
@@ -1,35 +1,38 @@
-"""The rule on cold servers as a budget of work for every window, over the work of any number of
+"""The rule on cold servers as a load budget for every window, over the load from any number of
 controllers.
 
-A cold server that is sent more than `overload` times its present capacity over a window of
-`overload_window_ms` falls over. All work counts for that. Who is to blame is another question: the
-rule is broken where enough of the work of that window came from proxies that must have known of the
-server's start."""
+A cold server that is sent more than `warm_up_overload_factor` times its present capacity over a
+window of `overload_window_ms` fails. All load counts for that. Whether the rule is broken is
+another question: only where enough of the load in that window came from proxies that must have
+known of the server's start."""
 
 from collections import deque
 from dataclasses import dataclass
 
-MIN_AWARE_SHARE = 2.0 / 3.0  # of the work in a window; from here on the rule is broken
-WINDOW_FILLED = 0.9  # of a window must have been looked at before it is judged: looks come in steps
+MIN_AWARE_SHARE = 2.0 / 3.0  # of the load in a window; from here on the rule is broken
+MIN_WINDOW_COVERAGE = 0.9  # samples come in steps and seldom cover a window exactly
 
 
 @dataclass(slots=True)
 class SentLoad:
-    """Operations a second that a server is sent; `known`: those by proxies that must know of its
+    """Requests per second that a server is sent; `known`: those from proxies that must know of its
     last start."""
 
     total: float = 0.0
     known: float = 0.0
 
     def add(self, rate: float, known: bool):
+        """Adds the requests per second of one proxy."""
         self.total += rate
         self.known += rate if known else 0.0
 
 
 @dataclass(frozen=True)
 class OverloadFailure:
-    """A server that fell over. `multiple`: of what it could take in that window without a fall, one
-    or more."""
+    """A cold server that failed of overload.
+
+    `multiple`: its load over the most that it could serve in that window, at least 1.
+    `aware_share`: the share of the load from proxies that must have known of its start."""
 
     server: object
     at: float
@@ -38,12 +41,13 @@
 
     @property
     def breaks_rule(self) -> bool:
+        """Whether the controllers had to prevent it."""
         return self.aware_share >= MIN_AWARE_SHARE
 
 
 @dataclass(slots=True)
 class Sample:
-    """What a server was sent, and may be sent, from one look to the next, in operations."""
+    """Requests that a server was sent between two checks, and the most that it could serve."""
 
     at: float
     total: float
@@ -52,8 +56,8 @@
 
 
 class ColdStartBudget:
-    """`warm_capacity`: operations a second that a warm server of size 1 can do;
-    `overload_window_ms` and `load_tolerance` are those of the bounds."""
+    """`warm_capacity`: requests per second that a warm server of size 1 can serve;
+    `overload_window_ms` and `load_tolerance` are those of the rules' bounds."""
 
     def __init__(
         self, settings, overload_window_ms: float, load_tolerance: float, warm_capacity: float
@@ -67,18 +71,20 @@
         self.windows, self.starts = {}, {}
 
     def allowed(self, size: float, age: float) -> float:
-        """Operations a second that a server of this age (ms) bears at most without a fall."""
-        warmth = (
+        """The most requests per second that a server of this age (ms) serves without a failure."""
+        capacity_share = (
             self.settings.initial_capacity_share
             + (1 - self.settings.initial_capacity_share) * age / self.settings.warm_up_ms
         )
-        return self.settings.warm_up_overload_factor * self.warm_capacity * size * warmth
+        return self.settings.warm_up_overload_factor * self.warm_capacity * size * capacity_share
 
     def add_sample(
-        self, now: float, past: float, server, started: float, size: float, work: SentLoad
+        self, now: float, elapsed: float, server, started: float, size: float, load: SentLoad
     ) -> OverloadFailure | None:
-        """Counts what the server was sent for the last `past` ms. After a fall a new window begins,
-        so that a fall without blame does not excuse what follows."""
+        """Counts the load of the last `elapsed` ms.
+
+        A new window begins after a failure, so that one that breaks no rule does not excuse what
+        follows."""
         age = now - started
         if not 0 <= age < self.settings.warm_up_ms:
             self.forget(server)
@@ -88,14 +94,17 @@
             self.starts[server] = started
         window = self.windows.setdefault(server, deque())
         window.append(
-            Sample(now, work.total * past, work.known * past, self.allowed(size, age) * past)
+            Sample(
+                now, load.total * elapsed, load.known * elapsed, self.allowed(size, age) * elapsed
+            )
         )
         while window[0].at <= now - self.overload_window_ms:
             window.popleft()
         return self.evaluate(now, server, window)
 
     def evaluate(self, now: float, server, window: deque) -> OverloadFailure | None:
-        if now - window[0].at <= WINDOW_FILLED * self.overload_window_ms:
+        """The failure that the samples of a window cause, if any; clears the window then."""
+        if now - window[0].at <= MIN_WINDOW_COVERAGE * self.overload_window_ms:
             return None
         sent = sum(sample.total for sample in window)
         allowed = sum(sample.allowed for sample in window)
@@ -106,5 +115,6 @@
         return OverloadFailure(server, now, sent / max(allowed, 1e-9), known / sent)
 
     def forget(self, server):
+        """Drops the server's window; for one that is warm or gone."""
         self.windows.pop(server, None)
         self.starts.pop(server, None)
--- a/havendyke/lab/controllers.py
+++ b/havendyke/lab/controllers.py
@@ -1,10 +1,10 @@
-"""Several controllers over the same servers, each with its part of the slices, its channel and its
-news, judged together.
+"""Several controllers over the same servers, each with its own slices, push channel and events,
+checked together.
 
-The rules on empty tables, drains, queues and further tries are judged for each controller by
-itself. Cold servers are judged by what the proxies of all controllers send them, and slices of sole
-owners by the writes of all. Time is the caller's: nothing here waits or opens a socket, and the
-same seed gives the same run."""
+The rules on empty tables, drains, the channel and retries are checked for each controller alone.
+Cold servers are checked by the load from the proxies of all controllers, and exclusive ownership by
+the writes of all. Time is simulated: nothing here waits or opens a socket, and the same seed gives
+the same run."""
 
 import heapq
 from dataclasses import dataclass, replace
@@ -25,16 +25,16 @@
 )
 from .write_overlap import WriteOverlap
 
-STEP_MS = 50.0  # ms between looks at the proxies, where nothing else is asked for
-BEGIN = 100_000.0  # ms at which a run begins
-FIRST_RECONCILIATIONS_MS = 250.0  # within which all controllers make their first turn
+STEP_MS = 50.0  # between two checks of the proxies
+START_MS = 100_000.0  # the time at which a run starts
+FIRST_RECONCILIATIONS_MS = 250.0  # all controllers reconcile for the first time within it
 ZONES = 3
-PROXY_RATE = 20.0
+PROXY_RATE = 20.0  # requests per second that each proxy announces
 
 
 @dataclass(frozen=True)
 class ListedServer:
-    """A server in discovery's list."""
+    """A server's entry in the endpoint list."""
 
     name: str
     state: str = "ready"
@@ -43,8 +43,7 @@
 
 
 class Replica:
-    """One controller, the channel to its proxies, what has come in for it, and the account of its
-    own rules."""
+    """One controller, the data plane of its proxies, its pending events and its own rules."""
 
     def __init__(
         self, number: int, count: int, settings, bounds: Bounds, warm_capacity: float, seed: int
@@ -55,53 +54,54 @@
         )
         self.plane = DataPlane(settings, self.random_numbers.draw)
         self.rules = RuleChecker(settings, bounds, warm_capacity)
-        self.plane.now = self.rules.now = BEGIN
+        self.plane.now = self.rules.now = START_MS
         self.inbox, self.timers, self.histories, self.lost_at = [], [], {}, None
-        self.first_reconciliation_at = BEGIN + FIRST_RECONCILIATIONS_MS * self.random_numbers.draw()
-        self.report_at, self.reported, self.max_acknowledgement_ms = {}, {}, 0.0
+        self.first_reconciliation_at = (
+            START_MS + FIRST_RECONCILIATIONS_MS * self.random_numbers.draw()
+        )
+        self.next_report_at, self.report_counts, self.max_acknowledgement_ms = {}, {}, 0.0
 
-    def receive_list(self, now: float, scope: str, listings):
-        """A list, or changes of it, reaches this controller."""
+    def receive_list(self, now: float, scope: str, listed):
+        """Receives an endpoint list, or changes of it."""
         entries = [
             core.EndpointEntry(self.registry.server(x.name), x.state, x.started, x.zone, 0, 0, 1.0)
-            for x in listings
+            for x in listed
         ]
         event = core.EndpointListUpdate(scope, entries)
         self.rules.observe_list(now, event)
         self.inbox.append(event)
 
-    def assign_slice(self, number: int, lines: dict):
-        """Gives it charge of a slice, with the lines of the store, weights by name."""
-        named = {self.registry.server(name): weight for name, weight in lines.items()}
-        self.inbox += self.plane.assign_slice(self.registry.slice(number), named)
+    def assign_slice(self, number: int, table: dict):
+        """Assigns a slice to it; `table`: weights in the store by server name."""
+        weights = {self.registry.server(name): weight for name, weight in table.items()}
+        self.inbox += self.plane.assign_slice(self.registry.slice(number), weights)
 
     def unassign_slice(self, number: int) -> dict:
-        """Takes a slice away from it; the lines that the store has of it, weights by name."""
-        piece = self.registry.slice(number)
-        self.inbox.append(self.plane.unassign_slice(piece))
-        return {server.id: weight for server, weight in self.plane.store[piece].items()}
+        """Takes a slice from it; returns its table in the store, weights by server name."""
+        slice_ = self.registry.slice(number)
+        self.inbox.append(self.plane.unassign_slice(slice_))
+        return {server.id: weight for server, weight in self.plane.store[slice_].items()}
 
     def last_writers(self) -> dict:
-        """The servers' names, by slice, that its proxies write to by the last lines they had of
-        it."""
+        """By slice, the names of the servers that its proxies write to by their last tables."""
         writers = {}
-        for view in self.plane.connected_proxies():
-            for piece in view.tables:
-                writers.setdefault(piece.id, set()).update(
-                    server.id for server in view.traffic_shares(piece)
+        for state in self.plane.connected_proxies():
+            for slice_ in state.tables:
+                writers.setdefault(slice_.id, set()).update(
+                    server.id for server in state.traffic_shares(slice_)
                 )
         return writers
 
     def reconcile(self, now: float) -> list:
-        """The orders of a turn, carried out; none where nothing has come in."""
+        """Reconciles and carries out the orders, which it returns; does nothing without events."""
         if now < self.first_reconciliation_at:
             return []
-        rung = sorted(timer for timer in self.timers if timer[0] <= now)
-        if not self.inbox and not rung:
+        fired = sorted(timer for timer in self.timers if timer[0] <= now)
+        if not self.inbox and not fired:
             return []
         self.timers = [timer for timer in self.timers if timer[0] > now]
         self.registry.pending_events, self.inbox = (
-            self.inbox + [core.TimerFired(tag) for _, tag in rung],
+            self.inbox + [core.TimerFired(timer_id) for _, timer_id in fired],
             [],
         )
         orders = self.registry.reconcile(now)
@@ -122,20 +122,23 @@
         return orders
 
     def advance(self, now: float):
-        answers = self.plane.advance(now)
+        """Advances its data plane and takes the acknowledgements."""
+        acknowledgements = self.plane.advance(now)
         self.max_acknowledgement_ms = max(
-            [self.max_acknowledgement_ms] + [answer.latency_ms for answer in answers]
+            [self.max_acknowledgement_ms]
+            + [acknowledgement.latency_ms for acknowledgement in acknowledgements]
         )
-        self.inbox += answers
+        self.inbox += acknowledgements
 
 
 class ControllerGroup:
-    """`demand`: operations a second, by the number of the slice; slice k begins at controller k
-    modulo their count, on server k modulo theirs. `warm_capacity`: operations a second that a warm
-    server of size 1 can do.
+    """Controllers, the servers they share and the proxies that connect to all of them.
 
-    `step_ms`: ms between looks at the proxies. `on_orders(replica, now, orders)` is told each
-    turn's orders. `overload_failures` has the cold servers that fell over, whoever was to blame."""
+    `demand`: requests per second by slice number; slice k is first assigned to controller k modulo
+    their count, with server k modulo theirs. `warm_capacity`: requests per second that a warm
+    server of size 1 can serve. `step_ms`: between two checks of the proxies.
+    `on_orders(replica, now, orders)` is called with the orders of each reconciliation.
+    `overload_failures`: the cold servers that failed, whether or not the rule was broken."""
 
     def __init__(
         self,
@@ -160,7 +163,7 @@
         )
         self.demand, self.now, self.on_orders, self.random_numbers = (
             demand,
-            BEGIN,
+            START_MS,
             on_orders,
             LinearCongruentialGenerator(seed),
         )
@@ -187,82 +190,89 @@
     # The servers and their list
 
     def add_server(self, started: float | None) -> SimulatedServer:
+        """Adds a server that is up; no list names it yet."""
         number = len(self.servers)
-        made = SimulatedServer(f"s{number}", number % ZONES, started=started)
-        self.servers[made.name] = made
-        return made
+        server = SimulatedServer(f"s{number}", number % ZONES, started=started)
+        self.servers[server.name] = server
+        return server
 
     def stop(self, name: str):
+        """A server no longer answers."""
         self.servers[name].up = False
 
     def start(self, name: str):
         """A server that was down answers again, cold."""
-        machine = self.servers[name]
-        machine.up, machine.started, machine.failed = True, self.now, False
+        server = self.servers[name]
+        server.up, server.started, server.failed = True, self.now, False
 
     def list_entry(self, name: str, state: str = "ready") -> ListedServer:
-        """A server's entry in a list that is true now."""
-        machine = self.servers[name]
-        return ListedServer(name, state, machine.started, machine.zone)
+        """A server's entry in a list that is correct now."""
+        server = self.servers[name]
+        return ListedServer(name, state, server.started, server.zone)
 
-    def send_list_to_all(self, scope: str, listings, wait=lambda: 0.0):
-        """The same list for each controller, after a wait of its own (ms)."""
+    def send_list_to_all(self, scope: str, listed, draw_delay_ms=lambda: 0.0):
+        """Sends the same list to each controller, after a delay of its own."""
         for replica in self.replicas:
-            self.send_list(replica, scope, listings, wait())
+            self.send_list(replica, scope, listed, draw_delay_ms())
 
-    def send_list(self, replica: Replica, scope: str, listings, wait: float = 0.0):
-        self.after(wait, lambda: replica.receive_list(self.now, scope, listings))
+    def send_list(self, replica: Replica, scope: str, listed, delay_ms: float = 0.0):
+        """Sends a list to one controller."""
+        self.after(delay_ms, lambda: replica.receive_list(self.now, scope, listed))
 
     # The proxies and the slices
 
     def connect_proxy(self, number: int, fresh: bool = False):
-        """A proxy joins every controller that runs."""
+        """A proxy connects to every controller that runs."""
         for replica in self.running():
             proxy = replica.registry.proxy(number)
             replica.inbox.append(replica.plane.connect(proxy, number % ZONES, PROXY_RATE, fresh))
 
     def disconnect_proxy(self, number: int):
+        """A proxy loses its streams to all controllers."""
         for replica in self.running():
             replica.inbox.append(replica.plane.disconnect(replica.registry.proxy(number)))
 
-    def restart_proxy(self, number: int, away: float):
-        """It is back after `away` ms, and knows nothing but what it reads."""
+    def restart_proxy(self, number: int, downtime_ms: float):
+        """A proxy restarts; it connects again without any state."""
         self.disconnect_proxy(number)
-        self.after(away, lambda: self.connect_proxy(number, fresh=True))
+        self.after(downtime_ms, lambda: self.connect_proxy(number, fresh=True))
 
     def running(self) -> list:
+        """The controllers that are not lost."""
         return [replica for replica in self.replicas if replica.lost_at is None]
 
     def controller_of(self, number: int) -> Replica:
-        """The controller in charge of a slice."""
+        """The controller that has the slice."""
         return next(
             r for r in self.running() if r.registry.slice(number) in r.plane.assigned_slices
         )
 
     def reassign_slice(self, number: int, to: Replica):
-        """Another controller gets charge of a slice, with what the store has of it."""
+        """Assigns a slice to another controller, with its table in the store."""
         to.assign_slice(number, self.controller_of(number).unassign_slice(number))
 
     def lose_controller(self, lost: Replica):
-        """A controller is gone; the others get its slices in turn, all at once. Its proxies go by
-        its last lines for their lease."""
-        numbers = [piece.id for piece in lost.plane.assigned_slices]
-        heirs = [replica for replica in self.running() if replica is not lost]
+        """A controller is lost; the others get its slices in turn, all at once.
+
+        Its proxies use its last tables for their lease."""
+        numbers = [slice_.id for slice_ in lost.plane.assigned_slices]
+        others = [replica for replica in self.running() if replica is not lost]
         for k, number in enumerate(numbers):
-            heirs[k % len(heirs)].assign_slice(number, lost.unassign_slice(number))
+            others[k % len(others)].assign_slice(number, lost.unassign_slice(number))
         lost.lost_at = self.now
 
     # Time
 
-    def after(self, wait: float, call):
-        """`call()` once `wait` ms are over; at once where there is no wait."""
-        if wait <= 0:
+    def after(self, delay_ms: float, call):
+        """Calls back after the delay; at once without one."""
+        if delay_ms <= 0:
             call()
             return
         self.call_count += 1
-        heapq.heappush(self.scheduled_calls, (self.now + wait, self.call_count, call))
+        heapq.heappush(self.scheduled_calls, (self.now + delay_ms, self.call_count, call))
 
     def run_for(self, span: float):
+        """Advances the time by `span` ms, in steps."""
         end = self.now + span
         while self.now < end:
             self.now += self.step_ms
@@ -279,112 +289,119 @@
     # What the proxies do
 
     def observe_proxies(self):
-        work, writers = {}, {}
-        cold = [machine for machine in self.servers.values() if machine.started is not None]
+        """Checks the rules and records the requests of the last step."""
+        load, writers = {}, {}
+        cold = [server for server in self.servers.values() if server.started is not None]
         for replica in self.running():
-            demand = {piece: self.demand[piece.id] for piece in replica.plane.assigned_slices}
-            started = {replica.registry.server(machine.name): machine.started for machine in cold}
-            seen = replica.rules.observe(self.now, replica.plane, demand, started)
-            for server, sent in seen.work.items():
-                whole = work.setdefault(server.id, SentLoad())
-                whole.total, whole.known = whole.total + sent.total, whole.known + sent.known
-            for piece, servers in seen.writers.items():
-                writers.setdefault(piece.id, set()).update(server.id for server in servers)
-            self.record_requests(replica, seen.work)
+            demand = {slice_: self.demand[slice_.id] for slice_ in replica.plane.assigned_slices}
+            started = {replica.registry.server(server.name): server.started for server in cold}
+            observation = replica.rules.observe(self.now, replica.plane, demand, started)
+            for server, sent in observation.load.items():
+                total = load.setdefault(server.id, SentLoad())
+                total.total, total.known = total.total + sent.total, total.known + sent.known
+            for slice_, servers in observation.writers.items():
+                writers.setdefault(slice_.id, set()).update(server.id for server in servers)
+            self.record_requests(replica, observation.load)
         for replica in self.replicas:
             if replica.lost_at is not None and self.now - replica.lost_at < self.settings.lease_ms:
                 for number, servers in replica.last_writers().items():
                     writers.setdefault(number, set()).update(servers)
         self.utilization = {
-            name: sent.total / self.capacity(self.servers[name]) for name, sent in work.items()
+            name: sent.total / self.capacity(self.servers[name]) for name, sent in load.items()
         }
-        for machine in self.servers.values():
-            self.check_cold_start(machine, work.get(machine.name, SentLoad()))
+        for server in self.servers.values():
+            self.check_cold_start(server, load.get(server.name, SentLoad()))
         for number, servers in writers.items():
             for server, other in self.writes.observe(self.now, number, servers):
-                self.record_violation("twice", f"slice {number} is written at {server} and {other}")
+                self.record_violation(
+                    "duplicate", f"slice {number} is written at {server} and {other}"
+                )
 
-    def capacity(self, machine: SimulatedServer) -> float:
-        age = (
-            self.now - machine.started if machine.started is not None else self.settings.warm_up_ms
-        )
-        warmth = self.settings.initial_capacity_share + (
+    def capacity(self, server: SimulatedServer) -> float:
+        """Requests per second that a server can serve at its present age."""
+        age = self.now - server.started if server.started is not None else self.settings.warm_up_ms
+        capacity_share = self.settings.initial_capacity_share + (
             1 - self.settings.initial_capacity_share
         ) * age / max(self.settings.warm_up_ms, 1.0)
-        return self.warm_capacity * machine.size * min(1.0, warmth)
+        return self.warm_capacity * server.size * min(1.0, capacity_share)
 
-    def check_cold_start(self, machine: SimulatedServer, work: SentLoad):
-        if not machine.up or machine.started is None:
-            self.budget.forget(machine.name)
+    def check_cold_start(self, server: SimulatedServer, load: SentLoad):
+        """Stops a cold server that its load of the last window overloads."""
+        if not server.up or server.started is None:
+            self.budget.forget(server.name)
             return
-        fall = self.budget.add_sample(
-            self.now, self.step_ms, machine.name, machine.started, machine.size, work
+        failure = self.budget.add_sample(
+            self.now, self.step_ms, server.name, server.started, server.size, load
         )
-        if fall is None:
+        if failure is None:
             return
-        machine.up, machine.failed = False, True
-        self.overload_failures.append(fall)
-        if fall.breaks_rule:
+        server.up, server.failed = False, True
+        self.overload_failures.append(failure)
+        if failure.breaks_rule:
             self.record_violation(
-                "cold",
-                f"{machine.name} is brought {fall.multiple:.2f} of what fells it, known to "
-                f"{fall.aware_share:.2f}, {self.now - machine.started:.0f} ms after its start",
+                "cold start",
+                f"{server.name} is sent {failure.multiple:.2f} of the load that overloads it, "
+                f"{failure.aware_share:.2f} of it from proxies that know of its start, "
+                f"{self.now - server.started:.0f} ms after that start",
             )
 
-    def record_violation(self, rule: str, said: str):
-        self.joint_violations.append(Violation(rule, self.now, said))
+    def record_violation(self, rule: str, message: str):
+        """Records a violation by all controllers together."""
+        self.joint_violations.append(Violation(rule, self.now, message))
 
     @property
     def violations(self) -> list:
-        """All breaches, of single controllers' rules and of those that all keep together."""
+        """The violations of each controller alone and those of all together."""
         return [
-            breach for replica in self.replicas for breach in replica.rules.violations
+            violation for replica in self.replicas for violation in replica.rules.violations
         ] + self.joint_violations
 
-    # What the controllers hear of it
+    # Load reports
 
-    def record_requests(self, replica: Replica, work: dict):
-        """Takes down what a controller's proxies met at the servers since the last look."""
-        for server, sent in work.items():
-            machine, used = self.servers[server.id], self.utilization.get(server.id, 0.0)
-            tries = sent.total * self.step_ms / 1000.0
-            bad = tries * failed_share(used) if machine.up else tries
+    def record_requests(self, replica: Replica, load: dict):
+        """Records the requests of a controller's proxies to the servers in the last step."""
+        for server, sent in load.items():
+            target, utilization = self.servers[server.id], self.utilization.get(server.id, 0.0)
+            attempts = sent.total * self.step_ms / 1000.0
+            failures = attempts * failed_share(utilization) if target.up else attempts
             history = replica.histories.setdefault(server, RequestHistory())
-            history.add(RequestSample(self.now, tries, bad, latency(used)), self.sampling.span_ms)
+            history.add(
+                RequestSample(self.now, attempts, failures, latency(utilization)),
+                self.sampling.span_ms,
+            )
 
     def report(self, replica: Replica):
-        """Sends the controller the reports that are due, of servers and of its slices."""
-        told = []
+        """Sends the controller the load reports of servers and slices that are due."""
+        reports = []
         for server, history in replica.histories.items():
-            if self.due(replica, server):
-                told.append(
-                    history.report(
-                        self.now, server, self.zone_in_turn(replica, server), self.sampling
-                    )
+            if self.is_due(replica, server):
+                reports.append(
+                    history.report(self.now, server, self.next_zone(replica, server), self.sampling)
                 )
-        for piece in replica.plane.assigned_slices:
-            if self.due(replica, piece):
+        for slice_ in replica.plane.assigned_slices:
+            if self.is_due(replica, slice_):
                 count = round(
-                    self.demand[piece.id] * self.sampling.span_ms / 1000.0 / self.sampling.zones
+                    self.demand[slice_.id] * self.sampling.span_ms / 1000.0 / self.sampling.zones
                 )
-                told.append(core.SliceLoadReport(piece, 0, count, 0, self.sampling.span_ms))
-        if told := [event for event in told if event is not None]:
-            self.after(self.sampling.delay_ms, lambda: replica.inbox.extend(told))
-
-    def due(self, replica: Replica, subject) -> bool:
-        """Whether a report of this server or slice is due; the first one comes at a time of its
-        own."""
-        at = replica.report_at.get(subject)
+                reports.append(core.SliceLoadReport(slice_, 0, count, 0, self.sampling.span_ms))
+        if reports := [event for event in reports if event is not None]:
+            self.after(self.sampling.delay_ms, lambda: replica.inbox.extend(reports))
+
+    def is_due(self, replica: Replica, subject) -> bool:
+        """Whether a report of this server or slice is due; the first one is due at a random time
+        within a period."""
+        at = replica.next_report_at.get(subject)
         if at is None:
-            replica.report_at[subject] = (
+            replica.next_report_at[subject] = (
                 self.now + self.sampling.period_ms * replica.random_numbers.draw()
             )
             return False
         if self.now < at:
             return False
-        replica.report_at[subject] = at + self.sampling.period_ms
+        replica.next_report_at[subject] = at + self.sampling.period_ms
         return True
 
-    def zone_in_turn(self, replica: Replica, server) -> int:
-        count = replica.reported[server] = replica.reported.get(server, -1) + 1
+    def next_zone(self, replica: Replica, server) -> int:
+        """The zone that the next report of the server covers."""
+        count = replica.report_counts[server] = replica.report_counts.get(server, -1) + 1
         return count % self.sampling.zones
--- a/havendyke/lab/server_load.py
+++ b/havendyke/lab/server_load.py
@@ -1,26 +1,27 @@
-"""The servers as they are, and what controllers get to hear of them: sampled reports that cover a
-span of time."""
+"""How servers respond to load, and the sampled load reports that controllers get of it."""
 
 from collections import deque
 from dataclasses import dataclass
 
 from .. import interface as core
 
-SERVICE = 60.0  # ms that an answer takes on a server with room
-BUSY_FROM, FAILS_FROM = (
+SERVICE_TIME_MS = 60.0  # of a server that is not congested
+CONGESTED_FROM, FAILS_FROM = (
     0.6,
     1.2,
-)  # parts of what a server can do from which on answers get slower, and fail
-SLOWER, MOST_FAILED = (
+)  # utilization from which on latency grows, and requests fail
+LATENCY_SLOPE, MAX_FAILED_SHARE = (
     6.0,
     0.9,
-)  # times the service, for each whole part beyond; share of failures at most
+)  # of the service time, for each unit of utilization beyond; of the requests
 
 
 @dataclass(slots=True)
 class SimulatedServer:
-    """One server. `started`: when it answered first since its last start, None: long ago; `failed`:
-    it fell over and stays down."""
+    """One server.
+
+    `started`: when it first answered since its last start; None: long ago. `failed`: it failed of
+    overload and stays down."""
 
     name: str
     zone: int
@@ -32,8 +33,11 @@
 
 @dataclass(frozen=True)
 class Sampling:
-    """Each controller hears of each server and slice once in `period`, from one of `zones` in turn,
-    what this zone's proxies met over `span`; the report is `delay` under way. Times are ms."""
+    """How load reports sample the proxies' requests.
+
+    Each controller gets a report of each server and slice once in `period_ms`, of one of `zones` in
+    turn. It covers the requests of this zone's proxies over `span_ms` and arrives after
+    `delay_ms`."""
 
     period_ms: float = 1000.0
     span_ms: float = 1000.0
@@ -41,47 +45,48 @@
     delay_ms: float = 300.0
 
 
-def failed_share(used: float) -> float:
-    """The share of its operations that fail at a server that is sent `used` times what it can
-    do."""
-    return max(0.0, min(MOST_FAILED, used - FAILS_FROM))
+def failed_share(utilization: float) -> float:
+    """The share of requests that fail at this utilization."""
+    return max(0.0, min(MAX_FAILED_SHARE, utilization - FAILS_FROM))
 
 
-def latency(used: float) -> float:
-    """The mean time of an answer (ms) of a server that is sent `used` times what it can do."""
-    return SERVICE * (1 + SLOWER * max(0.0, used - BUSY_FROM))
+def latency(utilization: float) -> float:
+    """The mean latency (ms) at this utilization."""
+    return SERVICE_TIME_MS * (1 + LATENCY_SLOPE * max(0.0, utilization - CONGESTED_FROM))
 
 
 @dataclass(slots=True)
 class RequestSample:
-    """What the proxies of one controller met at a server from one look to the next, in
-    operations."""
+    """The requests of one controller's proxies to a server between two checks."""
 
     at: float
-    tries: float
-    bad: float
+    attempts: float
+    failures: float
     latency: float
 
 
 class RequestHistory:
-    """What the proxies of one controller met at one server."""
+    """The recent requests of one controller's proxies to one server."""
 
     def __init__(self):
         self.samples = deque()
 
-    def add(self, met: RequestSample, span: float):
-        self.samples.append(met)
-        while self.samples[0].at <= met.at - span:
+    def add(self, sample: RequestSample, span: float):
+        """Adds a sample and drops those that are older than `span` ms."""
+        self.samples.append(sample)
+        while self.samples[0].at <= sample.at - span:
             self.samples.popleft()
 
     def report(
         self, now: float, server, zone: int, sampling: Sampling
     ) -> core.ServerLoadReport | None:
-        """The report of one zone; None where it met nothing."""
-        recent = [met for met in self.samples if met.at > now - sampling.span_ms]
-        tries = round(sum(met.tries for met in recent) / sampling.zones)
-        bad = min(tries, round(sum(met.bad for met in recent) / sampling.zones))
-        if not tries:
+        """The report of one zone; None where it sent no requests."""
+        recent = [sample for sample in self.samples if sample.at > now - sampling.span_ms]
+        attempts = round(sum(sample.attempts for sample in recent) / sampling.zones)
+        failures = min(attempts, round(sum(sample.failures for sample in recent) / sampling.zones))
+        if not attempts:
             return None
-        slow = recent[-1].latency if bad < tries else 0.0
-        return core.ServerLoadReport(server, zone, tries, bad, slow, sampling.span_ms)
+        mean_latency = recent[-1].latency if failures < attempts else 0.0
+        return core.ServerLoadReport(
+            server, zone, attempts, failures, mean_latency, sampling.span_ms
+        )
--- a/havendyke/lab/write_overlap.py
+++ b/havendyke/lab/write_overlap.py
@@ -1,21 +1,21 @@
-"""Slices of sole owners: no two servers may have writes of one slice in hand at a time."""
+"""Exclusive ownership: no two servers may have writes of one slice in flight at a time."""
 
 
 class WriteOverlap:
-    """`max_in_flight_ms`: a write that a server took in ends within this (ms)."""
+    """`max_in_flight_ms`: a write ends within this after its server accepted it."""
 
     def __init__(self, max_in_flight_ms: float):
-        self.max_in_flight_ms, self.last = max_in_flight_ms, {}
+        self.max_in_flight_ms, self.last_write_at = max_in_flight_ms, {}
 
-    def observe(self, now: float, piece, servers) -> list:
-        """Takes down that these servers take writes of the slice now; the pairs of servers whose
-        writes meet."""
-        last, pairs = self.last.setdefault(piece, {}), []
+    def observe(self, now: float, slice_, servers) -> list:
+        """Records that these servers get writes of the slice now; returns the pairs of servers
+        whose writes may overlap."""
+        last_write_at, pairs = self.last_write_at.setdefault(slice_, {}), []
         for server in servers:
             pairs += [
                 (server, other)
-                for other, at in last.items()
+                for other, at in last_write_at.items()
                 if other is not server and now - at < self.max_in_flight_ms
             ]
-            last[server] = now
+            last_write_at[server] = now
         return pairs
--- a/tests/lab/deployment.py
+++ b/tests/lab/deployment.py
@@ -1,5 +1,5 @@
-"""A deployment for several controllers: settings with room for what a lost zone moves, and skewed
-demand."""
+"""A deployment with several controllers: settings with room for the migrations of a lost zone, and
+skewed demand."""
 
 from controller_harness import LONG_AGO_MS, ControllerHarness, LinearCongruentialGenerator
 
@@ -7,7 +7,7 @@
 from havendyke.lab.controllers import ControllerGroup
 from havendyke.lab.server_load import Sampling
 
-SERVERS, PROXIES, BASELINE_RATE = 60, 4, 100.0  # requests a second at a healthy server
+SERVERS, PROXIES, BASELINE_RATE = 60, 4, 100.0  # requests per second that a warm server can serve
 MANY_CONTROLLERS = 30  # above it a step is twice as long
 SLICES_PER_SERVER, SLICES_PER_CONTROLLER = 6, 1.2
 SKEW, FIRST_RANK = 0.6, 10  # demand is a power of the rank
@@ -15,7 +15,7 @@
 
 
 def settings(slices, proxies=PROXIES, **changes):
-    """The channel has room for all slices at once, as that of a full fleet has for a lost zone."""
+    """The channel has room for all slices at once, as in a full fleet for those of a lost zone."""
     limit = 4.0 * proxies * (8 + 6 + 1.6 * slices)
     defaults = {
         "request_classes": [
@@ -39,7 +39,7 @@
 
 
 def skewed(count, total, seed):
-    """Requests a second by slice, `total` together."""
+    """Requests per second by slice, whose sum is `total`."""
     random_numbers = LinearCongruentialGenerator(seed)
     ranked = sorted(range(count), key=lambda number: random_numbers.draw())
     raw = {number: (rank + FIRST_RANK) ** -SKEW for rank, number in enumerate(ranked)}
@@ -47,7 +47,7 @@
 
 
 def deployment(count, seed=1, servers=SERVERS, load=0.59, proxies=PROXIES, group=None, **changes):
-    """Controllers that have been up for long.
+    """Controllers and servers that started long ago.
 
     `group`: further arguments of `ControllerGroup`.
     """
@@ -66,9 +66,9 @@
     )
     controllers.run_for(500.0)
     for replica in controllers.replicas:
-        scene = ControllerHarness.wrap(replica.registry.controller)
-        scene.set_started_long_ago()
-        for slice_ in scene.slices:
-            scene.set_assigned_at(slice_, LONG_AGO_MS)
+        harness = ControllerHarness.wrap(replica.registry.controller)
+        harness.set_started_long_ago()
+        for slice_ in harness.slices:
+            harness.set_assigned_at(slice_, LONG_AGO_MS)
     controllers.run_for(3000.0)
     return controllers
--- a/tests/lab/test_cold_budget.py
+++ b/tests/lab/test_cold_budget.py
@@ -1,4 +1,4 @@
-"""The rule on cold servers, clause by clause: what fells a server, and who is to blame."""
+"""The rule on cold servers: which load overloads one, and when the controllers had to know."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from havendyke.lab.rules import Bounds, RuleChecker
 from havendyke.registry import ObjectRegistry
 
-FALL, STEP, USUAL = 500.0, 10.0, 100.0
+WINDOW_MS, STEP_MS, WARM_CAPACITY = 500.0, 10.0, 100.0
 SETTINGS = core.Settings(
     request_classes=[core.RequestClass(1000.0, 3000.0, core.Idempotency.IDEMPOTENT)],
     slice_count=3,
@@ -19,86 +19,93 @@
     channel_rate_per_s=1e6,
     push_delay_ms=50.0,
 )
-AT_START = (
-    SETTINGS.warm_up_overload_factor * SETTINGS.initial_capacity_share * USUAL
-)  # operations a second that fell a server just started
+LIMIT_AT_START = (
+    SETTINGS.warm_up_overload_factor * SETTINGS.initial_capacity_share * WARM_CAPACITY
+)  # requests per second above which a server that has just started is overloaded
 
 
-def falls(works, started=0.0, size=1.0):
-    """The falls of a server that is sent these, one look each."""
-    budget, now, seen = ColdStartBudget(SETTINGS, FALL, 0.0, USUAL), 0.0, []
-    for work in works:
-        now += STEP
-        fall = budget.add_sample(now, STEP, "s1", started, size, work)
-        seen += [fall] if fall else []
-    return seen
+def overload_failures(loads, started=0.0, size=1.0):
+    """The failures of a server that is sent these loads, each for one step."""
+    budget, now, failures = ColdStartBudget(SETTINGS, WINDOW_MS, 0.0, WARM_CAPACITY), 0.0, []
+    for load in loads:
+        now += STEP_MS
+        failure = budget.add_sample(now, STEP_MS, "s1", started, size, load)
+        failures += [failure] if failure else []
+    return failures
 
 
-def steady(total, known_share=1.0, looks=60):
-    return [SentLoad(total, total * known_share)] * looks
+def steady(total, aware_share=1.0, steps=60):
+    return [SentLoad(total, total * aware_share)] * steps
 
 
-@pytest.mark.parametrize("share, fell", [(0.99, False), (1.15, True)])
-def test_a_server_falls_by_what_it_is_sent_over_a_window(share, fell):
-    assert bool(falls(steady(share * AT_START, looks=49))) == fell
+@pytest.mark.parametrize("share, fails", [(0.99, False), (1.15, True)])
+def test_a_server_fails_by_its_load_over_a_window(share, fails):
+    assert bool(overload_failures(steady(share * LIMIT_AT_START, steps=49))) == fails
 
 
-def test_all_work_counts_for_the_fall_also_that_of_proxies_that_know_nothing():
-    (fall,) = falls(steady(2 * AT_START, known_share=0.0, looks=49))
-    assert fall.multiple > 1.8 and fall.aware_share == 0.0 and not fall.breaks_rule
+def test_load_from_proxies_that_do_not_know_of_the_start_counts_for_the_failure():
+    (failure,) = overload_failures(steady(2 * LIMIT_AT_START, aware_share=0.0, steps=49))
+    assert failure.multiple > 1.8 and failure.aware_share == 0.0 and not failure.breaks_rule
 
 
 @pytest.mark.parametrize(
     "share, breaks", [(0.0, False), (0.65, False), (MIN_AWARE_SHARE + 0.001, True), (1.0, True)]
 )
-def test_the_rule_is_broken_where_two_thirds_of_the_work_was_known(share, breaks):
-    (fall,) = falls(steady(1.5 * AT_START, share, looks=49))
-    assert fall.breaks_rule == breaks
+def test_the_rule_is_broken_where_two_thirds_of_the_load_was_known(share, breaks):
+    (failure,) = overload_failures(steady(1.5 * LIMIT_AT_START, share, steps=49))
+    assert failure.breaks_rule == breaks
 
 
-def test_known_work_below_the_multiple_breaks_the_rule_if_the_rest_fells_the_server():
-    # Counted alone, the known work would have felled nobody.
-    (fall,) = falls(steady(1.2 * AT_START, 0.75, looks=49))
-    assert 0.75 * 1.2 < 1.0 and fall.breaks_rule
+def test_known_load_below_the_limit_breaks_the_rule_if_the_rest_overloads_the_server():
+    # Alone, the known load would not have overloaded the server.
+    (failure,) = overload_failures(steady(1.2 * LIMIT_AT_START, 0.75, steps=49))
+    assert 0.75 * 1.2 < 1.0 and failure.breaks_rule
 
 
-@pytest.mark.parametrize("burst, fell", [(5, False), (12, True)])
-def test_a_burst_counts_against_the_budget_of_the_whole_window(burst, fell):
-    # Five times what fells it: 50 ms fill half of a window's budget, 120 ms all of it.
-    works = [SentLoad(5 * AT_START, 5 * AT_START)] * burst + [SentLoad()] * (60 - burst)
-    assert bool(falls(works)) == fell
+@pytest.mark.parametrize("burst, fails", [(5, False), (12, True)])
+def test_a_burst_counts_against_the_budget_of_the_whole_window(burst, fails):
+    # At five times the limit, 50 ms use half of a window's budget and 120 ms more than all of it.
+    loads = [SentLoad(5 * LIMIT_AT_START, 5 * LIMIT_AT_START)] * burst + [SentLoad()] * (60 - burst)
+    assert bool(overload_failures(loads)) == fails
 
 
-def test_work_of_before_the_window_does_not_count():
-    heavy, light = SentLoad(0.9 * AT_START, 0.9 * AT_START), SentLoad(0.0, 0.0)
-    assert not falls([heavy] * 45 + [light] * 50 + [heavy] * 45)
+def test_load_before_the_window_does_not_count():
+    heavy, light = SentLoad(0.9 * LIMIT_AT_START, 0.9 * LIMIT_AT_START), SentLoad(0.0, 0.0)
+    assert not overload_failures([heavy] * 45 + [light] * 50 + [heavy] * 45)
 
 
 @pytest.mark.parametrize(
-    "age, size, fell",
+    "age, size, fails",
     [(0.0, 1.0, True), (5000.0, 1.0, False), (0.0, 2.0, False), (10_000.0, 1.0, False)],
 )
-def test_the_budget_grows_with_age_and_size_and_ends_with_the_warm_up(age, size, fell):
-    assert bool(falls(steady(1.5 * AT_START), -age, size)) == fell
+def test_the_budget_grows_with_age_and_size_and_ends_with_the_warm_up(age, size, fails):
+    assert bool(overload_failures(steady(1.5 * LIMIT_AT_START), -age, size)) == fails
 
 
-@pytest.mark.parametrize("age, fell", [(9000.0, True), (10_000.0, False)])
-def test_a_warm_server_is_not_judged(age, fell):
-    assert bool(falls(steady(SETTINGS.warm_up_overload_factor * USUAL * 1.2), -age)) == fell
+@pytest.mark.parametrize("age, fails", [(9000.0, True), (10_000.0, False)])
+def test_a_warm_server_has_no_budget(age, fails):
+    assert (
+        bool(
+            overload_failures(steady(SETTINGS.warm_up_overload_factor * WARM_CAPACITY * 1.2), -age)
+        )
+        == fails
+    )
 
 
-def test_a_second_start_begins_a_window_anew():
-    budget = ColdStartBudget(SETTINGS, FALL, 0.0, USUAL)
+def test_a_second_start_begins_a_new_window():
+    budget = ColdStartBudget(SETTINGS, WINDOW_MS, 0.0, WARM_CAPACITY)
     for k in range(1, 80):
         started = 0.0 if k < 40 else 400.0
         assert (
-            budget.add_sample(k * STEP, STEP, "s1", started, 1.0, SentLoad(1.2 * AT_START, 0.0))
+            budget.add_sample(
+                k * STEP_MS, STEP_MS, "s1", started, 1.0, SentLoad(1.2 * LIMIT_AT_START, 0.0)
+            )
             is None
         )
 
 
 class Scene:
-    """Four proxies that all send to server a; it starts anew when the test says so."""
+    """Four proxies that all send to server a, whose restart a test lists."""
 
     def __init__(self):
         self.registry, self.plane = (
@@ -110,68 +117,69 @@
             Bounds(
                 empty_table_ms=1000.0,
                 drain_grace_ms=2000.0,
-                overload_window_ms=FALL,
+                overload_window_ms=WINDOW_MS,
                 load_tolerance=0.0,
             ),
-            USUAL,
+            WARM_CAPACITY,
         )
-        self.server, self.pieces = (
+        self.server, self.slices = (
             self.registry.server("a"),
             [self.registry.slice(k) for k in range(3)],
         )
-        for piece in self.pieces:
-            self.plane.assign_slice(piece, {self.server: 1.0})
+        for slice_ in self.slices:
+            self.plane.assign_slice(slice_, {self.server: 1.0})
         self.proxies = [self.registry.proxy(k) for k in range(4)]
         for proxy in self.proxies:
             self.plane.connect(proxy, 0, 1.0, True)
-        self.go(50.0, 0.0)
+        self.run_for(50.0, 0.0)
 
-    def told_started(self, started):
+    def list_start(self, started):
+        """The controller receives a start of the server."""
         entry = core.EndpointEntry(self.server, "ready", started, 0, 0, 0, 1.0)
         self.rules.observe_list(
             self.plane.now, core.EndpointListUpdate(core.ListScope.CHANGES, [entry])
         )
 
-    def message(self, *proxies):
-        """A message to these proxies, which says nothing of the server."""
+    def send_message(self, *proxies):
+        """Sends these proxies a message that does not concern the server."""
         for proxy in proxies:
             self.plane.send(
                 self.plane.proxy_state(proxy), [], core.RequestAcknowledgement(1, False)
             )
 
-    def go(self, span, rate=0.5 * AT_START):
-        for _ in range(int(span / STEP)):
-            self.plane.advance(self.plane.now + STEP)
-            self.rules.check(self.plane.now, self.plane, dict.fromkeys(self.pieces, rate))
+    def run_for(self, span_ms, rate=0.5 * LIMIT_AT_START):
+        for _ in range(int(span_ms / STEP_MS)):
+            self.plane.advance(self.plane.now + STEP_MS)
+            self.rules.check(self.plane.now, self.plane, dict.fromkeys(self.slices, rate))
 
     @property
-    def broken(self):
-        return [breach.rule for breach in self.rules.violations]
+    def broken_rules(self):
+        return [violation.rule for violation in self.rules.violations]
 
 
 @pytest.mark.parametrize("reached, broken", [(0, False), (2, False), (3, True), (4, True)])
-def test_a_proxy_knows_by_a_message_that_was_sent_after_its_controller_was_told(reached, broken):
+def test_a_proxy_knows_of_a_start_by_a_message_sent_after_it_was_listed(reached, broken):
     s = Scene()
-    s.told_started(s.plane.now)
-    s.message(*s.proxies[:reached])
-    s.go(100.0, 0.0)  # the messages arrive
-    s.go(500.0)
-    assert s.rules.overload_failures and ("cold" in s.broken) == broken
+    s.list_start(s.plane.now)
+    s.send_message(*s.proxies[:reached])
+    s.run_for(100.0, 0.0)  # the messages arrive
+    s.run_for(500.0)
+    assert s.rules.overload_failures and ("cold start" in s.broken_rules) == broken
 
 
-def test_a_message_sent_before_its_controller_was_told_gives_no_knowledge():
+def test_a_message_sent_before_a_start_was_listed_gives_no_knowledge():
     s = Scene()
-    s.message(*s.proxies)
-    s.go(10.0, 0.0)
-    s.told_started(s.plane.now)
-    s.go(600.0)
-    assert s.rules.overload_failures and not s.broken
+    s.send_message(*s.proxies)
+    s.run_for(10.0, 0.0)
+    s.list_start(s.plane.now)
+    s.run_for(600.0)
+    assert s.rules.overload_failures and not s.broken_rules
 
 
-@pytest.mark.parametrize("since_told, broken", [(1300.0, False), (2010.0, True)])
-def test_a_proxy_without_a_message_knows_once_the_grace_is_over(since_told, broken):
+@pytest.mark.parametrize("since_listed, broken", [(1300.0, False), (2010.0, True)])
+def test_a_proxy_without_a_message_knows_of_a_start_after_the_grace_period(since_listed, broken):
     s = Scene()
-    s.told_started(s.plane.now)
-    s.go(since_told, 0.0)
-    s.go(600.0, AT_START)
-    assert s.rules.overload_failures and ("cold" in s.broken) == broken
+    s.list_start(s.plane.now)
+    s.run_for(since_listed, 0.0)
+    s.run_for(600.0, LIMIT_AT_START)
+    assert s.rules.overload_failures and ("cold start" in s.broken_rules) == broken
--- a/tests/lab/test_five_rules.py
+++ b/tests/lab/test_five_rules.py
@@ -1,4 +1,4 @@
-"""Each rule's breach is seen, and what keeps just short of it is none."""
+"""Each rule: its violation is found, and what just keeps it is none."""
 
 import pytest
 
@@ -13,8 +13,7 @@
 
 
 class Scene:
-    """A plane with one proxy and two slices on server a; a knows no trouble and is warm, so is
-    b."""
+    """A data plane with one proxy and two slices on server a; a and b are ready and warm."""
 
     def __init__(self, **settings):
         self.settings = core.Settings(
@@ -38,16 +37,17 @@
             RuleChecker(self.settings, BOUNDS, warm_capacity=100.0),
         )
         self.a, self.b = self.registry.server("a"), self.registry.server("b")
-        self.pieces = [self.registry.slice(0), self.registry.slice(1)]
+        self.slices = [self.registry.slice(0), self.registry.slice(1)]
         self.list(self.a), self.list(self.b)
-        for piece in self.pieces:
-            self.plane.assign_slice(piece, {self.a: 1.0})
+        for slice_ in self.slices:
+            self.plane.assign_slice(slice_, {self.a: 1.0})
         self.proxy = self.registry.proxy(0)
         self.plane.connect(self.proxy, 0, 1.0, True)
-        self.demand = dict.fromkeys(self.pieces, 50.0)
-        self.go(10)
+        self.demand = dict.fromkeys(self.slices, 50.0)
+        self.run_for(10)
 
     def list(self, server, state="ready", started=None):
+        """The controller receives a server's entry in the endpoint list."""
         self.rules.observe_list(
             self.plane.now,
             core.EndpointListUpdate(
@@ -56,117 +56,118 @@
         )
 
     def order(self, *orders):
+        """The orders of one reconciliation."""
         self.plane.apply_orders(list(orders))
         self.rules.observe_orders(self.plane.now, orders, self.plane)
 
-    def go(self, ms, step=10.0):
-        for _ in range(int(ms / step)):
-            self.plane.advance(self.plane.now + step)
+    def run_for(self, ms, step_ms=10.0):
+        for _ in range(int(ms / step_ms)):
+            self.plane.advance(self.plane.now + step_ms)
             self.rules.check(self.plane.now, self.plane, self.demand)
 
     @property
-    def seen(self):
-        return [b.rule for b in self.rules.violations]
+    def broken_rules(self):
+        return [violation.rule for violation in self.rules.violations]
 
 
-def test_a_day_without_trouble_breaks_nothing():
+def test_without_faults_no_rule_is_broken():
     s = Scene()
-    s.go(5000)
-    assert s.seen == []
+    s.run_for(5000)
+    assert s.broken_rules == []
 
 
-@pytest.mark.parametrize("listed, expected", [(True, ["bare"] * 2), (False, [])])
-def test_bare(listed, expected):
+@pytest.mark.parametrize("listed, expected", [(True, ["empty table"] * 2), (False, [])])
+def test_empty_tables_break_a_rule_while_a_warm_server_is_listed(listed, expected):
     s = Scene()
     if not listed:
         s.list(s.a, "gone"), s.list(s.b, "gone")
-    s.order(*[core.ClearTable(p) for p in s.pieces])
-    s.go(1040)
-    assert s.seen == []
-    s.go(200)
-    assert s.seen[:2] == expected
+    s.order(*[core.ClearTable(p) for p in s.slices])
+    s.run_for(1040)
+    assert s.broken_rules == []
+    s.run_for(200)
+    assert s.broken_rules[:2] == expected
 
 
 @pytest.mark.parametrize("how", ["line", "withdraw", "late"])
-def test_drain(how):
+def test_a_draining_server_gets_nothing_after_the_grace_period(how):
     s = Scene()
     s.list(s.a, "draining")
-    s.go(1800)
+    s.run_for(1800)
     if how == "line":
         s.order(
             *[
                 o
-                for p in s.pieces
+                for p in s.slices
                 for o in (core.SetEndpointWeight(p, s.b, 1.0), core.SetEndpointWeight(p, s.a, 0.0))
             ]
         )
     elif how == "withdraw":
         s.order(
-            *[core.SetEndpointWeight(p, s.b, 0.01) for p in s.pieces], core.SetEjection(s.a, True)
+            *[core.SetEndpointWeight(p, s.b, 0.01) for p in s.slices], core.SetEjection(s.a, True)
         )
-    s.go(600)
-    assert s.seen[:1] == (["drain"] if how == "late" else [])
+    s.run_for(600)
+    assert s.broken_rules[:1] == (["drain"] if how == "late" else [])
 
 
 @pytest.mark.parametrize(
     "share, age, breaks", [(1.0, 0.0, True), (0.5, 0.0, False), (1.0, 3000.0, False)]
 )
-def test_cold(share, age, breaks):
+def test_a_cold_server_is_not_sent_the_load_that_overloads_it(share, age, breaks):
     s = Scene()
     s.list(s.b, "ready", s.plane.now - age)
-    s.go(2100)  # by then it counts as known
+    s.run_for(2100)  # after the grace period the proxy counts as knowing of the start
     s.rules.started[s.b] = s.plane.now - age
     s.order(
-        *[core.SetEndpointWeight(p, s.b, w) for p in s.pieces for w in (share,)],
-        *[core.SetEndpointWeight(p, s.a, 1.0 - share) for p in s.pieces],
+        *[core.SetEndpointWeight(p, s.b, w) for p in s.slices for w in (share,)],
+        *[core.SetEndpointWeight(p, s.a, 1.0 - share) for p in s.slices],
     )
-    s.go(900)
-    assert ("cold" in s.seen) == breaks
+    s.run_for(900)
+    assert ("cold start" in s.broken_rules) == breaks
 
 
-def test_queue_and_cap():
+def test_the_channel_queue_and_the_messages_to_a_proxy_are_limited():
     s = Scene()
-    s.order(*[core.SetEndpointWeight(s.pieces[0], s.b, 1.0)] * 30)
-    assert s.seen == []
-    s.order(*[core.SetEndpointWeight(s.pieces[0], s.b, 1.0)] * 10)
-    assert s.seen == ["queue"]
+    s.order(*[core.SetEndpointWeight(s.slices[0], s.b, 1.0)] * 30)
+    assert s.broken_rules == []
+    s.order(*[core.SetEndpointWeight(s.slices[0], s.b, 1.0)] * 10)
+    assert s.broken_rules == ["channel"]
     s = Scene(message_limit=2, message_limit_window_ms=1000.0)
     for k in range(3):
         s.order(core.RequestAcknowledgement(k, True))
-        s.go(100)
-    assert s.seen == ["queue"]
+        s.run_for(100)
+    assert s.broken_rules == ["channel"]
 
 
 @pytest.mark.parametrize("classes, breaks", [((0,), False), ((1,), True), ((0, 1), True)])
-def test_twice_by_further_tries(classes, breaks):
+def test_only_idempotent_classes_may_be_retried_after_any_failure(classes, breaks):
     s = Scene()
     s.order(core.SetAdmission(classes, 1.0, core.RetryPolicy.ONCE_AFTER_ANY_FAILURE))
-    assert ("twice" in s.seen) == breaks
+    assert ("duplicate" in s.broken_rules) == breaks
 
 
 @pytest.mark.parametrize("wait, breaks", [(200.0, True), (900.0, False)])
 @pytest.mark.parametrize("away", [False, True])
-def test_twice_of_a_sole_owner(wait, breaks, away):
+def test_with_exclusive_ownership_writes_at_two_servers_do_not_overlap(wait, breaks, away):
     s = Scene(exclusive_ownership=True, lease_ms=300.0, max_write_in_flight_ms=500.0)
     other = s.registry.proxy(1)
     s.plane.connect(other, 0, 1.0, True)
-    s.go(50)
+    s.run_for(50)
     if away:
         s.plane.disconnect(other)
-    s.order(core.ClearTable(s.pieces[0]))
-    s.go(wait)
-    s.order(core.SetEndpointWeight(s.pieces[0], s.b, 1.0))
-    s.go(300)
-    assert ("twice" in s.seen) == breaks
+    s.order(core.ClearTable(s.slices[0]))
+    s.run_for(wait)
+    s.order(core.SetEndpointWeight(s.slices[0], s.b, 1.0))
+    s.run_for(300)
+    assert ("duplicate" in s.broken_rules) == breaks
 
 
-def test_limits_stand_still_while_nothing_leaves():
+def test_time_limits_are_suspended_while_the_channel_is_unavailable():
     s = Scene()
     s.list(s.a, "gone")
     s.rules.set_channel_available(s.plane.now, False)
-    s.go(4000)
+    s.run_for(4000)
     s.rules.set_channel_available(s.plane.now, True)
-    s.go(1900)
-    assert s.seen == []
-    s.go(300)
-    assert "drain" in s.seen
+    s.run_for(1900)
+    assert s.broken_rules == []
+    s.run_for(300)
+    assert "drain" in s.broken_rules
--- a/tests/lab/test_several_controllers.py
+++ b/tests/lab/test_several_controllers.py
@@ -10,15 +10,15 @@
 COUNTS = [1, 5, 30, 230]
 
 
-def breaches(group):
-    """The rules that were broken, as texts."""
-    return [str(breach) for breach in group.violations]
+def violations(group):
+    """The violations, as texts."""
+    return [str(violation) for violation in group.violations]
 
 
 def lose_zone(group, duration_ms, listed_after_ms, zone=0):
     """A zone is lost and restarts; each controller's endpoint list has the starts after a delay
     within the two bounds."""
-    names = [machine.name for machine in group.servers.values() if machine.zone == zone]
+    names = [server.name for server in group.servers.values() if server.zone == zone]
     for name in names:
         group.stop(name)
     group.run_for(duration_ms)
@@ -38,16 +38,16 @@
     group = deployment(count)
     lose_zone(group, 5000.0, (1000.0, 2000.0))
     group.run_for(6000.0)
-    assert not breaches(group)
+    assert not violations(group)
 
 
 @pytest.mark.parametrize("count", COUNTS)
-def test_servers_that_restart_at_once_with_all_their_slices_keep_what_they_can_carry(count):
+def test_servers_that_restart_at_once_with_all_their_slices_keep_the_load_they_can_serve(count):
     # No report tells of so short a loss, so that only the listed starts limit their load.
     group = deployment(count)
     lose_zone(group, 200.0, (0.0, 100.0))
     group.run_for(4000.0)
-    assert not breaches(group) and not group.overload_failures
+    assert not violations(group) and not group.overload_failures
 
 
 @pytest.mark.parametrize("count", COUNTS)
@@ -70,7 +70,7 @@
         )
         group.run_for(2000.0)
     group.run_for(4000.0)
-    assert not breaches(group) and not group.overload_failures
+    assert not violations(group) and not group.overload_failures
 
 
 # Exclusive ownership
@@ -133,7 +133,7 @@
         group.after(50.0 * (k % 6), lambda k=k: group.restart_proxy(k, 700.0))
         group.run_for(1500.0)
     group.run_for(6000.0)
-    assert not breaches(group)
+    assert not violations(group)
     assert handovers.durations_ms and not handovers.cleared_ms
     acknowledged = max(replica.max_acknowledgement_ms for replica in group.replicas)
     # A proxy may disconnect just before its acknowledgement, and writes on for its lease.
@@ -154,9 +154,9 @@
         group.run_for(group.step_ms)
     late = plane.proxy_state(group.replicas[0].registry.proxy(0))
     for message in [*plane.channel, *plane.in_flight]:
-        message.arrives_at += 5000.0 if message.proxy is late else 0.0
+        message.arrives_at += 5000.0 if message.recipient is late else 0.0
     group.run_for(12_000.0)
-    assert not breaches(group) and handovers.durations_ms and not handovers.cleared_ms
+    assert not violations(group) and handovers.durations_ms and not handovers.cleared_ms
 
 
 @pytest.mark.parametrize("lost_after_ms", [100.0, 200.0, 300.0, 400.0])
@@ -167,7 +167,7 @@
     group.run_for(lost_after_ms)
     group.lose_controller(group.replicas[0])
     group.run_for(9000.0)
-    assert not breaches(group) and handovers.durations_ms and not handovers.cleared_ms
+    assert not violations(group) and handovers.durations_ms and not handovers.cleared_ms
 
 
 @pytest.mark.parametrize("count", [5, 30])
@@ -183,7 +183,7 @@
             group.reassign_slice(number, group.replicas[(number + k + 1) % count])
         group.restart_proxy(k % PROXIES, 700.0)
     group.run_for(9000.0)
-    assert not breaches(group) and handovers.durations_ms and not handovers.cleared_ms
+    assert not violations(group) and handovers.durations_ms and not handovers.cleared_ms
 
 
 @pytest.mark.parametrize("exclusive", [False, True])
@@ -198,7 +198,7 @@
         group.connect_proxy(number)
     drain(group, list(group.servers)[::10])
     group.run_for(9000.0)
-    assert not breaches(group) and not group.overload_failures
+    assert not violations(group) and not group.overload_failures
     assert sum(len(replica.plane.assigned_slices) for replica in group.running()) == len(
         group.demand
     )
@@ -219,8 +219,8 @@
 
 
 def listed_state(replica, name):
-    scene = ControllerHarness.wrap(replica.registry.controller)
-    return scene.listed_state(replica.registry.server(name))
+    harness = ControllerHarness.wrap(replica.registry.controller)
+    return harness.listed_state(replica.registry.server(name))
 
 
 def unavailable_everywhere(group, names):
@@ -276,7 +276,7 @@
     fault(group, draining)
     group.run_for(5000.0)
     assert (
-        not breaches(group)
+        not violations(group)
         and not group.overload_failures
         and unavailable_everywhere(group, draining)
     )
--- a/tests/lab/test_zone_lost.py
+++ b/tests/lab/test_zone_lost.py
@@ -1,9 +1,9 @@
-"""A zone is lost for 5 s and listed late, while reports are sparse: none of its servers may be
-overloaded into failure when they restart."""
+"""A zone is lost for 5 s and its restart is listed late, while load reports are sparse: none of its
+servers may fail of overload when they restart."""
 
 import pytest
 from deployment import deployment
-from test_several_controllers import breaches, lose_zone
+from test_several_controllers import lose_zone, violations
 
 from havendyke.lab.controllers import ZONES
 from havendyke.lab.rules import Bounds
@@ -30,8 +30,8 @@
     group = deployment(count, seed)
     lose_zone(group, LOST_FOR_MS, (1000.0, 2000.0))
     group.run_for(6000.0)
-    assert not breaches(group)
-    assert [fall.server for fall in group.overload_failures] == []
+    assert not violations(group)
+    assert [failure.server for failure in group.overload_failures] == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -44,8 +44,8 @@
     group.run_for(4000.0)
     lose_zone(group, LOST_FOR_MS, (1000.0, 2000.0))
     group.run_for(6000.0)
-    assert not breaches(group)
-    assert [fall.server for fall in group.overload_failures] == []
+    assert not violations(group)
+    assert [failure.server for failure in group.overload_failures] == []
 
 
 def test_slices_of_lost_controllers_leave_a_lost_zone_too():
@@ -60,8 +60,8 @@
     group.after(2000.0, lambda: [group.lose_controller(replica) for replica in group.replicas[:2]])
     lose_zone(group, LOST_FOR_MS, (1000.0, 2000.0))
     group.run_for(6000.0)
-    assert not breaches(group)
-    assert [fall.server for fall in group.overload_failures] == []
+    assert not violations(group)
+    assert [failure.server for failure in group.overload_failures] == []
 
 
 def deployment_with_rare_reports(settings):
@@ -83,5 +83,5 @@
 def test_a_zone_whose_proxies_disconnected_is_lost_before_reports_show_it(settings):
     group = deployment_with_rare_reports(settings)
     lose_zone_with_its_proxies(group)
-    assert not breaches(group)
-    assert [fall.server for fall in group.overload_failures] == []
+    assert not violations(group)
+    assert [failure.server for failure in group.overload_failures] == []
