--- a/fuzz/targets/machines.py
+++ b/fuzz/targets/machines.py
@@ -80,8 +80,8 @@
         self.rest()
 
     def rest(self):
-        self.relay.call_outcome, self.relay.down, self.registry.down = "well", False, False
-        self.world.health_check_reply, self.world.refused_ports = "well", set()
+        self.relay.call_outcome, self.relay.down, self.registry.down = "answered", False, False
+        self.world.health_check_reply, self.world.refused_ports = "ok", set()
         # More is said each second than a slow connection brings: it would never come to rest.
         for peer in self.relay.open_watches():
             peer.deliver_delayed()
@@ -301,10 +301,10 @@
 
     def probes(self, a, b, c):
         self.world.health_check_reply = (
-            "well",
+            "ok",
             "full",
-            "junk",
-            "cut",
+            "garbage",
+            "truncated",
             "refused",
             "absent",
             "silent",
--- a/havendyke/lab/__init__.py
+++ b/havendyke/lab/__init__.py
@@ -1,5 +1,5 @@
-"""The laboratory: the other side of every protocol as a stand-in, in the caller's own time, and the
-rules as code.
+"""The laboratory: simulated peers of the assigner, a model of the data plane, and the rules that
+every deployment keeps, as code.
 
-Nothing here is imported by what `run` starts.
+Nothing that `run` starts imports it.
 """
--- a/havendyke/lab/disk.py
+++ b/havendyke/lab/disk.py
@@ -1,7 +1,7 @@
-"""A directory in memory with the calls of `recovery.disk.Disk`, that fails where a disk can.
+"""A directory in memory with the interface of `recovery.disk.Disk` and the failures of a disk.
 
-What was written and not synced, and names that were changed without a sync of the directory, are
-lost at a crash: all, none or half of it.
+Data that were not synced, and changes of names without a sync of the directory, are lost in a
+crash: all, none or half of them.
 """
 
 import errno
@@ -12,16 +12,17 @@
 from ..recovery.directory import StateDirectory
 from ..recovery.state import PersistedState
 
-MAX_WRITE_BYTES = 4096  # a write may be short
+MAX_WRITE_BYTES = 4096  # a longer write is a short write
 LOCK_HANDLE = "lock"
 
 
 class ProcessDied(BaseException):
-    """The process ends at this call; nothing of it goes on."""
+    """The process ends at this call; its code does not handle it."""
 
 
 class Storage:
-    """What outlives processes: `durable` is what a crash leaves, `live` what a process sees."""
+    """The files, which outlive processes: `durable` as a crash leaves them, `live` as processes see
+    them."""
 
     def __init__(self) -> None:
         self.durable: dict[str, bytes] = {}
@@ -29,9 +30,10 @@
         self.locked = False
 
     def crash(self, loss: str = "all") -> None:
-        """Ends all processes; `loss` says what is lost of what was not synced.
+        """Ends all processes; `loss` says how much of what was not synced is lost.
 
-        "all"; "none"; or "half": of each file's end half is left, and names are as changed.
+        "all"; "none"; or "half": half of what each file has beyond its synced bytes is left, and
+        names are as last changed.
         """
         if loss == "none":
             left = {name: bytes(data) for name, data in self.live.items()}
@@ -58,29 +60,30 @@
         self.data = data
 
 
-def _take_no_time(call: str) -> None:
-    """What a call does before it takes effect, where nothing is to be slow."""
+def _ignore_call(call: str) -> None:
+    """Does nothing; the default of `SimulatedDisk.on_call`."""
 
 
 class SimulatedDisk:
-    """One process's view of a `Storage`."""
+    """The disk as one process sees it."""
 
     def __init__(
         self,
-        memory: Storage,
+        storage: Storage,
         die_at_call: int | None = None,
         free_bytes: int | None = None,
         read_only: bool = False,
-        on_call: Callable[[str], None] = _take_no_time,
+        on_call: Callable[[str], None] = _ignore_call,
         sync_fails: bool = False,
     ) -> None:
-        """A disk that works, unless told otherwise.
+        """By default, a disk without failures.
 
-        `die_at_call`: the number of the call at which the process dies. `free_bytes`: bytes that
-        may be written. `read_only`: each change is refused. `on_call`: called with each call's
-        name.
+        `die_at_call`: the number of the call at which the process dies. `free_bytes`: bytes until
+        the disk is full; None: no limit. `read_only`: each change is refused. `on_call`: called
+        with the name of each call before it takes effect, so that a test may delay it.
+        `sync_fails`: syncs of files fail.
         """
-        self.memory = memory
+        self.storage = storage
         self.die_at_call = die_at_call
         self.free_bytes = free_bytes
         self.read_only = read_only
@@ -90,40 +93,40 @@
         self._synced: dict[int, bytes] = {}  # by the identity of a file's bytes
 
     def create_directory(self) -> None:
-        """Creates nothing: the directory is there."""
+        """Does nothing: the directory exists."""
         self._call("create_directory", changes=False)
 
     def lock(self) -> Any:
         """Locks the directory; raises BlockingIOError where it is locked."""
         self._call("lock")
-        if self.memory.locked:
+        if self.storage.locked:
             raise BlockingIOError(errno.EAGAIN, "locked")
-        self.memory.locked = True
+        self.storage.locked = True
         return LOCK_HANDLE
 
     def unlock(self, handle: Any) -> None:
         """Releases the lock."""
-        self.memory.locked = False
+        self.storage.locked = False
 
     def list_names(self) -> list[str]:
         """The names of all files, sorted."""
         self._call("list_names", changes=False)
-        return sorted(self.memory.live)
+        return sorted(self.storage.live)
 
     def read(self, name: str) -> bytes:
         """A file's bytes."""
         self._call("read", changes=False)
         self._require(name)
-        return bytes(self.memory.live[name])
+        return bytes(self.storage.live[name])
 
     def create(self, name: str) -> Any:
         """Opens a file for writing, and empties it where it exists."""
         self._call("create")
-        self.memory.live[name] = bytearray()
-        return SimulatedFile(name, self.memory.live[name])
+        self.storage.live[name] = bytearray()
+        return SimulatedFile(name, self.storage.live[name])
 
     def write(self, handle: Any, data: bytes) -> int:
-        """Writes some of the bytes; returns how many."""
+        """Writes the bytes, or some of them; returns how many."""
         self._call("write")
         count = min(len(data), MAX_WRITE_BYTES)
         if self.free_bytes is not None:
@@ -135,37 +138,37 @@
         return count
 
     def sync(self, handle: Any) -> None:
-        """Makes a file's bytes durable, under the name that it has by now."""
+        """Makes a file's bytes durable, under its present name."""
         self._call("sync")
         if self.sync_fails:
             raise OSError(errno.EIO, "Input/output error")
-        names = [name for name, data in self.memory.live.items() if data is handle.data]
+        names = [name for name, data in self.storage.live.items() if data is handle.data]
         name = names[0] if names else handle.name
         self._synced[id(handle.data)] = bytes(handle.data)
-        if name in self.memory.durable:
-            self.memory.durable[name] = bytes(handle.data)
+        if name in self.storage.durable:
+            self.storage.durable[name] = bytes(handle.data)
 
     def close(self, handle: Any) -> None:
-        """Closes nothing: the bytes stay in memory."""
+        """Does nothing: the bytes stay in memory."""
 
     def rename(self, old: str, new: str) -> None:
-        """Renames a file, in the place of one that has the name."""
+        """Renames a file; replaces one that has the new name."""
         self._call("rename")
         self._require(old)
-        self.memory.live[new] = self.memory.live.pop(old)
+        self.storage.live[new] = self.storage.live.pop(old)
 
     def remove(self, name: str) -> None:
         """Removes a file."""
         self._call("remove")
         self._require(name)
-        del self.memory.live[name]
+        del self.storage.live[name]
 
     def sync_directory(self) -> None:
         """Makes the creations, renames and removals of files durable."""
         self._call("sync_directory")
-        self.memory.durable = {
-            name: self._synced.get(id(data), self.memory.durable.get(name, b""))
-            for name, data in self.memory.live.items()
+        self.storage.durable = {
+            name: self._synced.get(id(data), self.storage.durable.get(name, b""))
+            for name, data in self.storage.live.items()
         }
 
     def _call(self, name: str, changes: bool = True) -> None:
@@ -177,15 +180,13 @@
             raise OSError(errno.EROFS, "Read-only file system")
 
     def _require(self, name: str) -> None:
-        if name not in self.memory.live:
+        if name not in self.storage.live:
             raise OSError(errno.ENOENT, "No such file or directory")
 
 
 class InlineWriter:
-    """A writer without a thread: what is submitted is committed before `submit` returns.
-
-    A run is the same every time.
-    """
+    """A writer without a thread: `submit` commits before it returns, so that runs are
+    deterministic."""
 
     def __init__(
         self,
@@ -199,12 +200,12 @@
         self.counts = {"commits": 0, "failures": 0}
 
     def start(self) -> None:
-        """Begins nothing."""
+        """Does nothing: there is no thread."""
 
     def submit(
         self, changes: Sequence[Change], take_snapshot: Callable[[], PersistedState]
     ) -> None:
-        """Commits the changes."""
+        """Commits the changes; a failure is logged and counted."""
         if not changes:
             return
         try:
@@ -215,4 +216,4 @@
             self.log("state_not_persisted", cause=error.strerror)
 
     def stop(self, timeout_s: float) -> None:
-        """Ends nothing: all is committed."""
+        """Does nothing: all changes are committed."""
--- a/havendyke/lab/event_loop.py
+++ b/havendyke/lab/event_loop.py
@@ -1,5 +1,5 @@
-"""A hub whose clock and transports the caller moves: the real front runs on it without a socket or
-a second passing."""
+"""An event loop with a simulated clock and simulated transports: the assigner's network code runs
+on it without sockets and without waiting."""
 
 from dataclasses import replace
 
@@ -11,8 +11,10 @@
 
 
 class Transport:
-    """What a connection writes, kept; `unread` is what its peer has not taken yet (bytes).
-    `on_write()` is called after a write, `on_abort()` once the connection was let go."""
+    """Keeps what a connection writes.
+
+    `unread`: bytes that the peer has not read yet. `on_write()` is called after each write,
+    `on_abort()` when the connection is aborted."""
 
     def __init__(self, on_write=None, on_abort=None):
         self.written, self.aborted, self.unread, self.on_write, self.on_abort = (
@@ -24,26 +26,30 @@
         )
 
     def write(self, data: bytes):
+        """Keeps the data."""
         self.written += data
         if self.on_write:
             self.on_write()
 
     def write_eof(self):
-        pass
+        """Does nothing: peers do not read the end."""
 
     def abort(self):
+        """Aborts the connection."""
         if self.on_abort and not self.aborted:
             self.on_abort()
         self.aborted = True
 
     def get_write_buffer_size(self) -> int:
+        """Bytes that the peer has not read yet."""
         return self.unread
 
 
 class SimulatedEventLoop(EventLoop):
-    """Times are ms, from 1000 on; `limits` are fields of `Limits`. Connections asked for are in
-    `connections`, oldest first; none comes up until `establish` or `open` says so, or
-    `on_connect(connection)`, where it is set, does it."""
+    """Times are ms, from 1000 on; `limits` are fields of `Limits`.
+
+    `connections`: those that were requested, oldest first. None is open before `establish` or
+    `open` is called for it, or before `on_connect(connection)`, where it is set, opens it."""
 
     def __init__(self, **limits):
         self.limits = replace(Limits(), **limits)
@@ -65,32 +71,38 @@
             0,
         )
 
-    def log(self, event, **more):
-        self.logged.append((event, more))
+    def log(self, event, **fields):
+        """Keeps the log record."""
+        self.logged.append((event, fields))
 
     def now(self) -> float:
+        """The simulated clock."""
         return self.time
 
     def wall_offset_ms(self) -> float:
+        """What to add to Unix milliseconds to get the simulated clock's."""
         return -5000.0
 
     def arm(self):
-        pass
+        """Does nothing: `run_for` looks at the deadlines itself."""
 
     def call_soon(self, call):
+        """Calls back in the next `run`; stands in for asyncio's loop."""
         self.pending_callbacks.append(call)
 
-    def connect(self, address, peer, wait=None):
-        made = self.new_connection(peer, wait)
-        if made is None:
+    def connect(self, address, peer, timeout_ms=None):
+        """Requests a connection; None where no slot is free."""
+        connection = self.new_connection(peer, timeout_ms)
+        if connection is None:
             return None
-        made.address = address
-        self.connections.append(made)
+        connection.address = address
+        self.connections.append(connection)
         if self.on_connect:
-            self.on_connect(made)
-        return made
+            self.on_connect(connection)
+        return connection
 
     def run_for(self, ms: float):
+        """Advances the time and runs the deadlines as they pass."""
         end = self.time + ms
         while (first := self.deadlines.next_at_ms()) is not None and first <= end:
             self.time = max(self.time, first)
@@ -100,32 +112,33 @@
         self.time = end
 
     def run(self):
+        """Runs the pending callbacks, and those that they add."""
         while self.pending_callbacks:
             self.pending_callbacks.pop(0)()
 
     def open_connections(self, *names) -> list:
-        """The connections of these peers that are not over, oldest first; those that are over are
-        forgotten."""
+        """The connections of these peers that are not closed, oldest first; forgets closed ones."""
         self.connections = [c for c in self.connections if not c.ended]
         return [c for c in self.connections if c.peer.name in names]
 
     @staticmethod
     def establish(connection):
+        """Opens a connection that is not open yet."""
         if connection.transport is None:
             connection.connection_made(Transport())
         return connection
 
     def open(self, name: str, establish: bool = True):
-        """The newest connection of these peers that is not over; brought up first."""
-        made = [c for c in self.connections if c.peer.name == name and not c.ended][-1]
-        return self.establish(made) if establish else made
+        """The newest connection of this peer that is not closed; opened first, if asked for."""
+        newest = [c for c in self.connections if c.peer.name == name and not c.ended][-1]
+        return self.establish(newest) if establish else newest
 
 
 def feed(connection, data: bytes):
-    """Bytes as a socket brings them: no more at a time than the room there is."""
+    """Delivers bytes as a socket does: no more at a time than fit the connection's buffer."""
     while data and not connection.ended:
-        room = connection.get_buffer(-1)
-        count = min(len(room), len(data))
-        room[:count] = data[:count]
+        space = connection.get_buffer(-1)
+        count = min(len(space), len(data))
+        space[:count] = data[:count]
         connection.buffer_updated(count)
         data = data[count:]
--- a/havendyke/lab/host.py
+++ b/havendyke/lab/host.py
@@ -1,5 +1,5 @@
-"""One machine's assigner over several starts, in simulated time: its folder, its clocks, the
-relay's store."""
+"""The host of one assigner over several starts, in simulated time: its state directory, its clocks
+and the relay's store."""
 
 from .. import config
 from ..net.assigner import Assigner
@@ -10,9 +10,10 @@
 
 
 class AssignerHost:
-    """One folder over several runs of an assigner; `wall` is the machine's clock (Unix ms). `raw`
-    is the platform's configuration, `entries` discovery's list by uid; each slice begins on one
-    server, in turn."""
+    """A host that starts an assigner again and again with one state directory.
+
+    `raw`: the platform's configuration. `entries`: discovery's list by uid; each slice starts with
+    one server, in turn. `wall`: the host's clock (Unix ms); `since`: ms since its boot."""
 
     def __init__(self, raw: dict, entries: dict):
         self.raw = raw
@@ -22,31 +23,44 @@
         self.since = 5000.0
 
     def start(self, disk=None, discovery=True, proxies=range(6), persist=True, **entries):
-        """A run; the store and discovery's list go on from the last one."""
+        """Starts the assigner; the store and discovery's list are as the last run left them.
+
+        `entries`: changes of the list. `discovery`: whether it is up. `persist`: whether the
+        assigner has a state directory."""
         self.storage.crash("all")
         self.entries |= entries
 
-        def make(hub):
-            began, wall, boot, since = hub.time, self.wall, f"boot-{self.boot}", self.since
-            clock = lambda: Timestamp(wall + hub.time - began, boot, since + hub.time - began)  # noqa: E731
-            hub.wall_offset_ms = lambda: began - wall
+        def make(event_loop):
+            began, wall, boot, since = event_loop.time, self.wall, f"boot-{self.boot}", self.since
+            clock = lambda: Timestamp(  # noqa: E731
+                wall + event_loop.time - began, boot, since + event_loop.time - began
+            )
+            event_loop.wall_offset_ms = lambda: began - wall
             self.durable = DurableState(
-                StateOptions("/"), hub.log, disk or SimulatedDisk(self.storage), clock, InlineWriter
+                StateOptions("/"),
+                event_loop.log,
+                disk or SimulatedDisk(self.storage),
+                clock,
+                InlineWriter,
             )
             return Assigner(
-                config.read_config(self.raw, {}), hub, self.durable if persist else None
+                config.read_config(self.raw, {}), event_loop, self.durable if persist else None
             )
 
-        w = Simulation(make, self.store, self.entries, proxies)
-        w.discovery.down = not discovery
-        w.assigner.start()
-        self.simulation = w
-        return w
+        simulation = Simulation(make, self.store, self.entries, proxies)
+        simulation.discovery.down = not discovery
+        simulation.assigner.start()
+        self.simulation = simulation
+        return simulation
+
+    def crash(self, downtime_ms, same_boot=False):
+        """Ends the run; the next start is `downtime_ms` later by the wall clock.
 
-    def crash(self, later, same_boot=False):
-        """Power is gone; the machine comes back so much later by its wall clock."""
-        self.wall += self.simulation.event_loop.time - 1000.0 + later
+        `same_boot`: only the process crashed, not the host."""
+        self.wall += self.simulation.event_loop.time - 1000.0 + downtime_ms
         self.since = (
-            self.since + self.simulation.event_loop.time - 1000.0 + later if same_boot else 5000.0
+            self.since + self.simulation.event_loop.time - 1000.0 + downtime_ms
+            if same_boot
+            else 5000.0
         )
         self.boot += not same_boot
--- a/tests/test_cold_figures.py
+++ b/tests/test_cold_figures.py
@@ -1,5 +1,5 @@
-"""Unexpected settings of slow start: a default, or one line that names the key; nothing else is
-lost."""
+"""Missing or invalid settings and start times of slow start: a default, or one error that names the
+key; nothing else is rejected."""
 
 import copy
 
@@ -80,39 +80,39 @@
         assert error and f"'{key}'" in error and "\n" not in error
 
 
-# Start times in discovery's list
+# Start times in the endpoint list
 
 
 def changes(assigner, **started):
-    """The event of a change of the list that names these servers with their starts (Unix ms)."""
+    """The event of a list change with these servers and their start times (Unix ms)."""
     targets = [listed_server(name, boot_ms=boot) for name, boot in started.items()]
     listing = {"rev": 11, "all": False, "targets": targets}
     return assigner.peer_codecs.endpoint_list.decode(listing).event
 
 
-def test_a_start_in_the_future_counts_as_now_and_stays_so():
-    assigner, hub = make_assigner()
+def test_a_start_in_the_future_is_taken_as_now_and_kept():
+    assigner, event_loop = make_assigner()
     suspend_reconciliation(assigner)
     first = {e.server.id: e.started_ms for e in changes(assigner, s1=9e15, s2=5500).entries}
-    assert first == {"s1": hub.now(), "s2": 500.0}
-    hub.run_for(5000)
+    assert first == {"s1": event_loop.now(), "s2": 500.0}
+    event_loop.run_for(5000)
     again = {e.server.id: e.started_ms for e in changes(assigner, s1=9e15, s2=5500).entries}
     assert again == first
 
 
 def test_a_start_time_that_goes_backwards_changes_no_servers_start():
-    assigner, hub = make_assigner()
+    assigner, event_loop = make_assigner()
     suspend_reconciliation(assigner)
-    scene = ControllerHarness.wrap(assigner.registry.controller)
-    scene.observe(changes(assigner, s1=5900, s2=5500))
-    before = {s.id: scene.started_ms(s) for s in scene.servers}
-    scene.observe(changes(assigner, s1=5100, s2=0))
-    assert {s.id: scene.started_ms(s) for s in scene.servers} == before
+    harness = ControllerHarness.wrap(assigner.registry.controller)
+    harness.observe(changes(assigner, s1=5900, s2=5500))
+    before = {s.id: harness.started_ms(s) for s in harness.servers}
+    harness.observe(changes(assigner, s1=5100, s2=0))
+    assert {s.id: harness.started_ms(s) for s in harness.servers} == before
 
 
 @pytest.mark.parametrize("boot", [-1, "5500", [], True])
-def test_an_invalid_start_time_costs_only_its_entry_and_is_named(boot):
-    assigner, hub = make_assigner(discovery_watch_count=1)
+def test_an_invalid_start_time_rejects_only_its_entry_and_is_logged(boot):
+    assigner, event_loop = make_assigner(discovery_watch_count=1)
     suspend_reconciliation(assigner).discovery.open_watches()
     take_pending_events(assigner)
     targets = [
@@ -120,8 +120,8 @@
         listed_server("s2", "terminating"),
         listed_server("s3", az="mars"),
     ]
-    feed(hub.open("discovery"), http_response({"rev": 4, "all": True, "targets": targets}))
+    feed(event_loop.open("discovery"), http_response({"rev": 4, "all": True, "targets": targets}))
     (event,) = take_pending_events(assigner, core.EndpointListUpdate)
     assert [(e.server.id, e.state) for e in event.entries] == [("s2", "draining"), ("s3", "ready")]
-    lines = [more for name, more in hub.logged if name == "bad_entry"]
+    lines = [fields for name, fields in event_loop.logged if name == "bad_entry"]
     assert len(lines) == 1 and "boot_ms" in lines[0]["field"]
