--- a/tests/lab/test_cold_budget.py
+++ b/tests/lab/test_cold_budget.py
@@ -104,7 +104,7 @@
         )
 
 
-class Scene:
+class Scenario:
     """Four proxies that all send to server a, whose restart a test lists."""
 
     def __init__(self):
@@ -159,27 +159,27 @@
 
 @pytest.mark.parametrize("reached, broken", [(0, False), (2, False), (3, True), (4, True)])
 def test_a_proxy_knows_of_a_start_by_a_message_sent_after_it_was_listed(reached, broken):
-    s = Scene()
-    s.list_start(s.plane.now)
-    s.send_message(*s.proxies[:reached])
-    s.run_for(100.0, 0.0)  # the messages arrive
-    s.run_for(500.0)
-    assert s.rules.overload_failures and ("cold start" in s.broken_rules) == broken
+    scenario = Scenario()
+    scenario.list_start(scenario.plane.now)
+    scenario.send_message(*scenario.proxies[:reached])
+    scenario.run_for(100.0, 0.0)  # the messages arrive
+    scenario.run_for(500.0)
+    assert scenario.rules.overload_failures and ("cold start" in scenario.broken_rules) == broken
 
 
 def test_a_message_sent_before_a_start_was_listed_gives_no_knowledge():
-    s = Scene()
-    s.send_message(*s.proxies)
-    s.run_for(10.0, 0.0)
-    s.list_start(s.plane.now)
-    s.run_for(600.0)
-    assert s.rules.overload_failures and not s.broken_rules
+    scenario = Scenario()
+    scenario.send_message(*scenario.proxies)
+    scenario.run_for(10.0, 0.0)
+    scenario.list_start(scenario.plane.now)
+    scenario.run_for(600.0)
+    assert scenario.rules.overload_failures and not scenario.broken_rules
 
 
 @pytest.mark.parametrize("since_listed, broken", [(1300.0, False), (2010.0, True)])
 def test_a_proxy_without_a_message_knows_of_a_start_after_the_grace_period(since_listed, broken):
-    s = Scene()
-    s.list_start(s.plane.now)
-    s.run_for(since_listed, 0.0)
-    s.run_for(600.0, LIMIT_AT_START)
-    assert s.rules.overload_failures and ("cold start" in s.broken_rules) == broken
+    scenario = Scenario()
+    scenario.list_start(scenario.plane.now)
+    scenario.run_for(since_listed, 0.0)
+    scenario.run_for(600.0, LIMIT_AT_START)
+    assert scenario.rules.overload_failures and ("cold start" in scenario.broken_rules) == broken
--- a/tests/lab/test_five_rules.py
+++ b/tests/lab/test_five_rules.py
@@ -12,7 +12,7 @@
 )
 
 
-class Scene:
+class Scenario:
     """A data plane with one proxy and two slices on server a; a and b are ready and warm."""
 
     def __init__(self, **settings):
@@ -71,103 +71,107 @@
 
 
 def test_without_faults_no_rule_is_broken():
-    s = Scene()
-    s.run_for(5000)
-    assert s.broken_rules == []
+    scenario = Scenario()
+    scenario.run_for(5000)
+    assert scenario.broken_rules == []
 
 
 @pytest.mark.parametrize("listed, expected", [(True, ["empty table"] * 2), (False, [])])
 def test_empty_tables_break_a_rule_while_a_warm_server_is_listed(listed, expected):
-    s = Scene()
+    scenario = Scenario()
     if not listed:
-        s.list(s.a, "gone"), s.list(s.b, "gone")
-    s.order(*[core.ClearTable(p) for p in s.slices])
-    s.run_for(1040)
-    assert s.broken_rules == []
-    s.run_for(200)
-    assert s.broken_rules[:2] == expected
+        scenario.list(scenario.a, "gone"), scenario.list(scenario.b, "gone")
+    scenario.order(*[core.ClearTable(p) for p in scenario.slices])
+    scenario.run_for(1040)
+    assert scenario.broken_rules == []
+    scenario.run_for(200)
+    assert scenario.broken_rules[:2] == expected
 
 
 @pytest.mark.parametrize("how", ["line", "withdraw", "late"])
 def test_a_draining_server_gets_nothing_after_the_grace_period(how):
-    s = Scene()
-    s.list(s.a, "draining")
-    s.run_for(1800)
+    scenario = Scenario()
+    scenario.list(scenario.a, "draining")
+    scenario.run_for(1800)
     if how == "line":
-        s.order(
+        scenario.order(
             *[
                 o
-                for p in s.slices
-                for o in (core.SetEndpointWeight(p, s.b, 1.0), core.SetEndpointWeight(p, s.a, 0.0))
+                for p in scenario.slices
+                for o in (
+                    core.SetEndpointWeight(p, scenario.b, 1.0),
+                    core.SetEndpointWeight(p, scenario.a, 0.0),
+                )
             ]
         )
     elif how == "withdraw":
-        s.order(
-            *[core.SetEndpointWeight(p, s.b, 0.01) for p in s.slices], core.SetEjection(s.a, True)
+        scenario.order(
+            *[core.SetEndpointWeight(p, scenario.b, 0.01) for p in scenario.slices],
+            core.SetEjection(scenario.a, True),
         )
-    s.run_for(600)
-    assert s.broken_rules[:1] == (["drain"] if how == "late" else [])
+    scenario.run_for(600)
+    assert scenario.broken_rules[:1] == (["drain"] if how == "late" else [])
 
 
 @pytest.mark.parametrize(
     "share, age, breaks", [(1.0, 0.0, True), (0.5, 0.0, False), (1.0, 3000.0, False)]
 )
 def test_a_cold_server_is_not_sent_the_load_that_overloads_it(share, age, breaks):
-    s = Scene()
-    s.list(s.b, "ready", s.plane.now - age)
-    s.run_for(2100)  # after the grace period the proxy counts as knowing of the start
-    s.rules.started[s.b] = s.plane.now - age
-    s.order(
-        *[core.SetEndpointWeight(p, s.b, w) for p in s.slices for w in (share,)],
-        *[core.SetEndpointWeight(p, s.a, 1.0 - share) for p in s.slices],
+    scenario = Scenario()
+    scenario.list(scenario.b, "ready", scenario.plane.now - age)
+    scenario.run_for(2100)  # after the grace period the proxy counts as knowing of the start
+    scenario.rules.started[scenario.b] = scenario.plane.now - age
+    scenario.order(
+        *[core.SetEndpointWeight(p, scenario.b, w) for p in scenario.slices for w in (share,)],
+        *[core.SetEndpointWeight(p, scenario.a, 1.0 - share) for p in scenario.slices],
     )
-    s.run_for(900)
-    assert ("cold start" in s.broken_rules) == breaks
+    scenario.run_for(900)
+    assert ("cold start" in scenario.broken_rules) == breaks
 
 
 def test_the_channel_queue_and_the_messages_to_a_proxy_are_limited():
-    s = Scene()
-    s.order(*[core.SetEndpointWeight(s.slices[0], s.b, 1.0)] * 30)
-    assert s.broken_rules == []
-    s.order(*[core.SetEndpointWeight(s.slices[0], s.b, 1.0)] * 10)
-    assert s.broken_rules == ["channel"]
-    s = Scene(message_limit=2, message_limit_window_ms=1000.0)
+    scenario = Scenario()
+    scenario.order(*[core.SetEndpointWeight(scenario.slices[0], scenario.b, 1.0)] * 30)
+    assert scenario.broken_rules == []
+    scenario.order(*[core.SetEndpointWeight(scenario.slices[0], scenario.b, 1.0)] * 10)
+    assert scenario.broken_rules == ["channel"]
+    scenario = Scenario(message_limit=2, message_limit_window_ms=1000.0)
     for k in range(3):
-        s.order(core.RequestAcknowledgement(k, True))
-        s.run_for(100)
-    assert s.broken_rules == ["channel"]
+        scenario.order(core.RequestAcknowledgement(k, True))
+        scenario.run_for(100)
+    assert scenario.broken_rules == ["channel"]
 
 
 @pytest.mark.parametrize("classes, breaks", [((0,), False), ((1,), True), ((0, 1), True)])
 def test_only_idempotent_classes_may_be_retried_after_any_failure(classes, breaks):
-    s = Scene()
-    s.order(core.SetAdmission(classes, 1.0, core.RetryPolicy.ONCE_AFTER_ANY_FAILURE))
-    assert ("duplicate" in s.broken_rules) == breaks
+    scenario = Scenario()
+    scenario.order(core.SetAdmission(classes, 1.0, core.RetryPolicy.ONCE_AFTER_ANY_FAILURE))
+    assert ("duplicate" in scenario.broken_rules) == breaks
 
 
 @pytest.mark.parametrize("wait, breaks", [(200.0, True), (900.0, False)])
 @pytest.mark.parametrize("away", [False, True])
 def test_with_exclusive_ownership_writes_at_two_servers_do_not_overlap(wait, breaks, away):
-    s = Scene(exclusive_ownership=True, lease_ms=300.0, max_write_in_flight_ms=500.0)
-    other = s.registry.proxy(1)
-    s.plane.connect(other, 0, 1.0, True)
-    s.run_for(50)
+    scenario = Scenario(exclusive_ownership=True, lease_ms=300.0, max_write_in_flight_ms=500.0)
+    other = scenario.registry.proxy(1)
+    scenario.plane.connect(other, 0, 1.0, True)
+    scenario.run_for(50)
     if away:
-        s.plane.disconnect(other)
-    s.order(core.ClearTable(s.slices[0]))
-    s.run_for(wait)
-    s.order(core.SetEndpointWeight(s.slices[0], s.b, 1.0))
-    s.run_for(300)
-    assert ("duplicate" in s.broken_rules) == breaks
+        scenario.plane.disconnect(other)
+    scenario.order(core.ClearTable(scenario.slices[0]))
+    scenario.run_for(wait)
+    scenario.order(core.SetEndpointWeight(scenario.slices[0], scenario.b, 1.0))
+    scenario.run_for(300)
+    assert ("duplicate" in scenario.broken_rules) == breaks
 
 
 def test_time_limits_are_suspended_while_the_channel_is_unavailable():
-    s = Scene()
-    s.list(s.a, "gone")
-    s.rules.set_channel_available(s.plane.now, False)
-    s.run_for(4000)
-    s.rules.set_channel_available(s.plane.now, True)
-    s.run_for(1900)
-    assert s.broken_rules == []
-    s.run_for(300)
-    assert "drain" in s.broken_rules
+    scenario = Scenario()
+    scenario.list(scenario.a, "gone")
+    scenario.rules.set_channel_available(scenario.plane.now, False)
+    scenario.run_for(4000)
+    scenario.rules.set_channel_available(scenario.plane.now, True)
+    scenario.run_for(1900)
+    assert scenario.broken_rules == []
+    scenario.run_for(300)
+    assert "drain" in scenario.broken_rules
