--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -184,7 +184,7 @@
         orders = registry.reconcile(now)
         middle = perf_counter()
         tracker.record(events, orders)
-        tracker.learn(registry.controller)
+        tracker.record_estimates(registry.controller)
         tracker.take_changes()
         alone.append(middle - began)
         keeping.append(perf_counter() - middle)
@@ -216,7 +216,7 @@
     base.execute("pragma synchronous=full")
     base.execute("create table rows (kind text, id text, told blob, primary key (kind, id))")
     rows = [
-        (kind, str(f.get("uid", f.get("number"))), records.frame(0, kind, f))
+        (kind, str(f.get("uid", f.get("number"))), records.encode_frame(0, kind, f))
         for kind, f in map(codec.encode, changes.snapshot(state(size)))
     ]
     base.execute("begin")
@@ -233,7 +233,7 @@
     base.close()
     began, made = perf_counter(), PersistedState()
     for (told,) in sqlite3.connect(folder / "base").execute("select told from rows"):
-        _, found, _ = records.read(records.header() + told)
+        _, found, _ = records.read_records(records.encode_header() + told)
         codec.decode(*found[0][1:]).apply(made)
     return {
         "write_ms": times,
@@ -247,7 +247,7 @@
 
     base = lmdb.open(str(folder / "base"), map_size=1 << 30)
     rows = [
-        (f"{kind}/{f.get('uid', f.get('number'))}".encode(), records.frame(0, kind, f))
+        (f"{kind}/{f.get('uid', f.get('number'))}".encode(), records.encode_frame(0, kind, f))
         for kind, f in map(codec.encode, changes.snapshot(state(size)))
     ]
     with base.begin(write=True) as turn:
@@ -264,7 +264,7 @@
     began, made = perf_counter(), PersistedState()
     with lmdb.open(str(folder / "base"), readonly=True).begin() as turn:
         for _, told in turn.cursor():
-            _, found, _ = records.read(records.header() + told)
+            _, found, _ = records.read_records(records.encode_header() + told)
             codec.decode(*found[0][1:]).apply(made)
     return {
         "write_ms": times,
--- a/fuzz/targets/recovery.py
+++ b/fuzz/targets/recovery.py
@@ -24,8 +24,8 @@
 
 LISTED_STATES = (ServerState.READY, ServerState.DRAINING)
 EVIDENCE = (EvidenceSource.HEALTH_CHECK, EvidenceSource.LOAD_REPORT, EvidenceSource.SNAPSHOT)
-FRAMES = records.header() + b"".join(
-    records.frame(k, kind, told)
+FRAMES = records.encode_header() + b"".join(
+    records.encode_frame(k, kind, told)
     for k, (kind, told) in enumerate(
         [
             ("begin", {"generation": 1}),
@@ -48,20 +48,20 @@
         FRAMES[:-1],
         FRAMES[:9],
         b"",
-        records.header(1) + records.frame(0, "entry", {}, 1),
-        records.header() + b"\xff" * 20,
+        records.encode_header(1) + records.encode_frame(0, "entry", {}, 1),
+        records.encode_header() + b"\xff" * 20,
         FRAMES + FRAMES[8:],
-        records.header() + records.frame(7, "x", {}),
+        records.encode_header() + records.encode_frame(7, "x", {}),
     ],
 )
 def read(data):
     try:
-        schema_, made, damage = records.read(data)
+        schema_, made, damage = records.read_records(data)
     except records.RecordFileError as error:
         hold("\n" not in str(error), "not one line:", str(error))
         return
     # What was accepted is, byte for byte, what would be written.
-    again = records.header(schema_)
+    again = records.encode_header(schema_)
     for serial, kind, fields in made:
         at = len(again)
         size = int.from_bytes(data[at : at + 4], "big")
@@ -287,7 +287,7 @@
             raise reader.OperatorFileError(f"{path}:1:1: not UTF-8") from None
 
     try:
-        file = reader.collect("/etc/main", load)
+        file = reader.load_files("/etc/main", load)
         made = {name: reader.resolve(file, name) for name in file.sections}
     except reader.OperatorFileError as error:
         hold(
--- a/havendyke/cli/settings.py
+++ b/havendyke/cli/settings.py
@@ -24,7 +24,7 @@
 def show(path: str, as_json: bool) -> None:
     """All values of FILE, given and default, with where they stand."""
     try:
-        file = reader.collect(path)
+        file = reader.load_files(path)
         sections = {
             section: _section_rows(file, section, reader.resolve(file, section))
             for section in file.sections
--- a/havendyke/recovery/directory.py
+++ b/havendyke/recovery/directory.py
@@ -131,7 +131,7 @@
         begin_marker: StoredRecord = (records.BEGIN, {"generation": generation})
         self._write_snapshot([begin_marker, *map(encode, snapshot(state)), END_MARKER])
         self._next_serial = 0
-        log_start = records.header() + self._frames([begin_marker])
+        log_start = records.encode_header() + self._frames([begin_marker])
         log = self.disk.create(log_name(generation))
         try:
             self._write(log, log_start)
@@ -200,7 +200,7 @@
 
     def _write_snapshot(self, stored_records: Sequence[StoredRecord]) -> None:
         self._next_serial = 0
-        data = records.header() + self._frames(stored_records)
+        data = records.encode_header() + self._frames(stored_records)
         handle = self.disk.create(UNFINISHED_SNAPSHOT_NAME)
         try:
             self._write(handle, data)
@@ -211,7 +211,7 @@
     def _frames(self, stored_records: Iterable[StoredRecord]) -> bytes:
         frames = []
         for kind, fields in stored_records:
-            frames.append(records.frame(self._next_serial, kind, fields))
+            frames.append(records.encode_frame(self._next_serial, kind, fields))
             self._next_serial += 1
         return b"".join(frames)
 
--- a/havendyke/recovery/durable_state.py
+++ b/havendyke/recovery/durable_state.py
@@ -216,7 +216,7 @@
         """
         assert self.tracker is not None, "attach comes first"
         raised = self.tracker.record(events, orders)
-        self.tracker.learn(self._registry.controller)
+        self.tracker.record_estimates(self._registry.controller)
         self._submit(self.tracker)
         if not raised:
             return None
--- a/havendyke/recovery/generations.py
+++ b/havendyke/recovery/generations.py
@@ -45,7 +45,7 @@
     A snapshot is used completely or not at all, since a part of it is a state that never was.
     """
     try:
-        file = records.read(disk.read(snapshot_name(generation)))
+        file = records.read_records(disk.read(snapshot_name(generation)))
     except (records.RecordFileError, OSError) as error:
         raise SnapshotError(describe_error(error)) from None
     if file.damage:
@@ -66,7 +66,7 @@
     """
     name = log_name(generation)
     try:
-        file = records.read(disk.read(name))
+        file = records.read_records(disk.read(name))
     except (records.RecordFileError, OSError) as error:
         findings.append(f"{name}: {describe_error(error)}")
         return 0
--- a/havendyke/recovery/records.py
+++ b/havendyke/recovery/records.py
@@ -66,7 +66,7 @@
     """A frame that cannot be read."""
 
 
-def header(schema: int = SCHEMA) -> bytes:
+def encode_header(schema: int = SCHEMA) -> bytes:
     """The first bytes of a file."""
     return MAGIC + schema.to_bytes(HEADER_BYTES - len(MAGIC), "big")
 
@@ -86,7 +86,7 @@
     return xxhash.xxh64_digest(length + payload, seed=schema)
 
 
-def frame(serial: int, kind: str, fields: Mapping[str, Any], schema: int = SCHEMA) -> bytes:
+def encode_frame(serial: int, kind: str, fields: Mapping[str, Any], schema: int = SCHEMA) -> bytes:
     """The bytes of a record; raises `RecordSizeError` for one over `MAX_PAYLOAD_BYTES`."""
     payload = orjson.dumps([serial, kind, fields], option=orjson.OPT_NON_STR_KEYS)
     if len(payload) > MAX_PAYLOAD_BYTES:
@@ -95,7 +95,7 @@
     return length + checksum(length, payload, schema) + payload
 
 
-def read(data: bytes) -> RecordFile:
+def read_records(data: bytes) -> RecordFile:
     """The records of a file's bytes; raises `RecordFileError` for the header only.
 
     A frame that cannot be read ends the reading and is returned as `damage`.
--- a/havendyke/recovery/tracker.py
+++ b/havendyke/recovery/tracker.py
@@ -109,7 +109,7 @@
             self._record_order(order)
         return raised
 
-    def learn(self, controller: "Controller") -> None:
+    def record_estimates(self, controller: "Controller") -> None:
         """Takes over the controller's estimates, once in `LEARNING_INTERVAL_MS`."""
         now = self._now()
         if now.uptime_ms - self._learned_uptime_ms < LEARNING_INTERVAL_MS:
--- a/havendyke/settings/reader.py
+++ b/havendyke/settings/reader.py
@@ -54,11 +54,11 @@
 
     Raises `OperatorFileError`.
     """
-    file = collect(path)
+    file = load_files(path)
     return {section: resolve(file, section) for section in file.sections}
 
 
-def collect(path: str, read_text: Callable[[str], str] | None = None) -> OperatorFile:
+def load_files(path: str, read_text: Callable[[str], str] | None = None) -> OperatorFile:
     """What a file and its includes state; raises `OperatorFileError`.
 
     `read_text` takes a path, `read_file` by default.
--- a/tests/recovery/test_directory.py
+++ b/tests/recovery/test_directory.py
@@ -102,10 +102,10 @@
         (b"", "empty"),
         (b"junk and more", "does not begin"),
         (records.MAGIC + b"\0\x09", "schema 9"),
-        (records.header() + b"\xff" * 40, "claims"),
-        (records.header() + records.frame(3, "entry", {"uid": 5}), "does not end"),
-        pytest.param(records.header() + sealed(b"7"), "no array of three", id="number"),
-        pytest.param(records.header() + sealed(b"null"), "no array of three", id="null"),
+        (records.encode_header() + b"\xff" * 40, "claims"),
+        (records.encode_header() + records.encode_frame(3, "entry", {"uid": 5}), "does not end"),
+        pytest.param(records.encode_header() + sealed(b"7"), "no array of three", id="number"),
+        pytest.param(records.encode_header() + sealed(b"null"), "no array of three", id="null"),
     ],
 )
 def test_a_damaged_snapshot_is_moved_aside_and_never_overwritten(data, reason):
@@ -132,8 +132,8 @@
     del fields["by"]
     stored = [("begin", {"generation": 2}), ("entry", fields), ("end", {})]
     memory.live["snapshot-2"] = bytearray(
-        records.header(1)
-        + b"".join(records.frame(serial, *record, 1) for serial, record in enumerate(stored))
+        records.encode_header(1)
+        + b"".join(records.encode_frame(serial, *record, 1) for serial, record in enumerate(stored))
     )
     server = StateDirectory(SimulatedDisk(memory)).open(write=False).state.servers["s1"]
     assert server.source == "disk" and server.confirmed == Timestamp(5000.0, "", 0.0)
@@ -202,15 +202,15 @@
     directory.rotate(state)
     directory.close()
     name = f"log-{directory.generation}"
-    log = records.header() + b"".join(
-        records.frame(serial, *record)
+    log = records.encode_header() + b"".join(
+        records.encode_frame(serial, *record)
         for serial, record in enumerate(
             [(records.BEGIN, {"generation": directory.generation}), ("tomb", unusable)]
         )
     )
     disk = SimulatedDisk(memory)
     handle = disk.create(name)
-    disk.write(handle, log + records.frame(2, records.END, {}))
+    disk.write(handle, log + records.encode_frame(2, records.END, {}))
     disk.close(handle)
     loaded = StateDirectory(disk).open(write=False)
     assert list(loaded.state.tombstones) == ["s2"]
--- a/tests/recovery/test_stored_by_bf4fd60.py
+++ b/tests/recovery/test_stored_by_bf4fd60.py
@@ -211,7 +211,7 @@
             server.state, server.capacity = core.ServerState.READY, capacity
         for slice_ in self.registry.controller.slices:
             slice_.demand = 2.5
-        self.tracker.learn(self.registry.controller)
+        self.tracker.record_estimates(self.registry.controller)
 
     def commit(self):
         changes = self.tracker.take_changes()
