--- a/havendyke/cli/state.py
+++ b/havendyke/cli/state.py
@@ -179,7 +179,7 @@
         "drains": len(state.tombstones),
         "shut": len(state.ejected),
         "slices": len(state.slices),
-        "learned": len(state.learned),
+        "learned": len(state.estimates),
         "list_version": state.list_version,
     }
 
--- a/havendyke/recovery/changes.py
+++ b/havendyke/recovery/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the persisted state, and the difference between two states.
+"""Changes to the persisted state, and the difference between two states.
 
 A snapshot is the difference from the empty state.
 """
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from .state import (
-    LearnedFigure,
+    Estimate,
     PersistedState,
     PushProgress,
     ServerRecord,
@@ -18,150 +18,150 @@
 
 @dataclass(frozen=True, slots=True)
 class SetListVersion:
-    """An endpoint list of this version came."""
+    """Sets the version of the last endpoint list."""
 
     version: int
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state."""
+        """Applies the change to a state."""
         state.list_version = self.version
 
 
 @dataclass(frozen=True, slots=True)
 class SetLastAlive:
-    """The program was seen running."""
+    """Sets the time at which the process was last known to run."""
 
     at: Timestamp | None
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state."""
+        """Applies the change to a state."""
         state.last_alive = self.at
 
 
 @dataclass(frozen=True, slots=True)
 class SetServer:
-    """A new or changed server."""
+    """Adds or replaces a server."""
 
     uid: str
     record: ServerRecord
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state."""
+        """Applies the change to a state."""
         state.servers[self.uid] = self.record
 
 
 @dataclass(frozen=True, slots=True)
 class RemoveServer:
-    """A server that is no longer listed."""
+    """Removes a server that is no longer listed."""
 
     uid: str
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state."""
+        """Applies the change to a state."""
         state.servers.pop(self.uid, None)
 
 
 @dataclass(frozen=True, slots=True)
 class SetTombstone:
-    """A server's drain or end."""
+    """Sets the tombstone of a server."""
 
     uid: str
     tombstone: Tombstone
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state; the tombstone becomes the newest."""
+        """Applies the change to a state; the tombstone becomes the newest."""
         state.tombstones.pop(self.uid, None)
         state.tombstones[self.uid] = self.tombstone
 
 
 @dataclass(frozen=True, slots=True)
 class RemoveTombstone:
-    """A drain or end that no longer holds."""
+    """Removes a tombstone that no longer applies."""
 
     uid: str
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state."""
+        """Applies the change to a state."""
         state.tombstones.pop(self.uid, None)
 
 
 @dataclass(frozen=True, slots=True)
 class EjectServer:
-    """A server that was ejected from the proxies' tables."""
+    """Marks a server as ejected."""
 
     uid: str
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state."""
+        """Applies the change to a state."""
         state.ejected[self.uid] = None
 
 
 @dataclass(frozen=True, slots=True)
 class UnejectServer:
-    """A server that was returned to the proxies' tables."""
+    """Marks a server as no longer ejected."""
 
     uid: str
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state."""
+        """Applies the change to a state."""
         state.ejected.pop(self.uid, None)
 
 
 @dataclass(frozen=True, slots=True)
 class SetSlice:
-    """A slice's published table."""
+    """Sets the published table of a slice."""
 
     number: int
     table: SliceTable
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state."""
+        """Applies the change to a state."""
         state.slices[self.number] = self.table
 
 
 @dataclass(frozen=True, slots=True)
 class RemoveSlice:
-    """A slice whose table is no longer persisted."""
+    """Removes a slice whose table is no longer persisted."""
 
     number: int
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state."""
+        """Applies the change to a state."""
         state.slices.pop(self.number, None)
 
 
 @dataclass(frozen=True, slots=True)
 class SetPush:
-    """A push, or a further acknowledgement of it."""
+    """Sets the last push or the number of its acknowledgements."""
 
     push: PushProgress
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state."""
+        """Applies the change to a state."""
         state.push = self.push
 
 
 @dataclass(frozen=True, slots=True)
-class SetLearned:
-    """A learned figure."""
+class SetEstimate:
+    """Sets an estimate."""
 
     name: str
-    figure: LearnedFigure
+    estimate: Estimate
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state."""
-        state.learned[self.name] = self.figure
+        """Applies the change to a state."""
+        state.estimates[self.name] = self.estimate
 
 
 @dataclass(frozen=True, slots=True)
-class RemoveLearned:
-    """A learned figure of a server or slice that is no longer there."""
+class RemoveEstimate:
+    """Removes the estimate of a server or slice that no longer exists."""
 
     name: str
 
     def apply(self, state: PersistedState) -> None:
-        """Makes the change in a state."""
-        state.learned.pop(self.name, None)
+        """Applies the change to a state."""
+        state.estimates.pop(self.name, None)
 
 
 Change = (
@@ -176,98 +176,98 @@
     | SetSlice
     | RemoveSlice
     | SetPush
-    | SetLearned
-    | RemoveLearned
+    | SetEstimate
+    | RemoveEstimate
 )
 
 
-def difference(present: PersistedState, desired: PersistedState) -> list[Change]:
-    """The changes that make `present` the same as `desired`, in the order to make them.
+def difference(current: PersistedState, desired: PersistedState) -> list[Change]:
+    """Returns the changes that turn `current` into `desired`, in the order to apply them.
 
-    A push is set and never removed: the next one takes its place.
-    A tombstone is set before its server changes and removed after it, since a state that is cut in
-    between would otherwise list a drained server as one that never drained.
+    A push is only ever replaced by a later one, never removed.
+    A tombstone is set before its server changes and removed afterwards: otherwise, a state that is
+    truncated in between could list a drained server as one that never drained.
     """
     return [
-        *_header_difference(present, desired),
-        *_set_server_changes(present, desired),
-        *_removed_server_changes(present, desired),
-        *_ejection_difference(present, desired),
-        *_slice_difference(present, desired),
-        *_learned_difference(present, desired),
+        *_header_difference(current, desired),
+        *_set_server_changes(current, desired),
+        *_removed_server_changes(current, desired),
+        *_ejection_difference(current, desired),
+        *_slice_difference(current, desired),
+        *_estimate_difference(current, desired),
     ]
 
 
 def snapshot(state: PersistedState) -> list[Change]:
-    """The changes that make the empty state the same as `state`."""
+    """Returns the changes that turn the empty state into `state`."""
     return difference(PersistedState(), state)
 
 
-def _header_difference(present: PersistedState, desired: PersistedState) -> list[Change]:
+def _header_difference(current: PersistedState, desired: PersistedState) -> list[Change]:
     changes: list[Change] = []
-    if desired.list_version != present.list_version:
+    if desired.list_version != current.list_version:
         changes.append(SetListVersion(desired.list_version))
-    if desired.last_alive != present.last_alive:
+    if desired.last_alive != current.last_alive:
         changes.append(SetLastAlive(desired.last_alive))
     return changes
 
 
-def _set_server_changes(present: PersistedState, desired: PersistedState) -> list[Change]:
+def _set_server_changes(current: PersistedState, desired: PersistedState) -> list[Change]:
     tombstones: list[Change] = [
         SetTombstone(uid, tombstone)
         for uid, tombstone in desired.tombstones.items()
-        if present.tombstones.get(uid) != tombstone
+        if current.tombstones.get(uid) != tombstone
     ]
     servers: list[Change] = [
         SetServer(uid, record)
         for uid, record in desired.servers.items()
-        if present.servers.get(uid) != record
+        if current.servers.get(uid) != record
     ]
     return tombstones + servers
 
 
-def _removed_server_changes(present: PersistedState, desired: PersistedState) -> list[Change]:
+def _removed_server_changes(current: PersistedState, desired: PersistedState) -> list[Change]:
     servers: list[Change] = [
-        RemoveServer(uid) for uid in present.servers if uid not in desired.servers
+        RemoveServer(uid) for uid in current.servers if uid not in desired.servers
     ]
     tombstones: list[Change] = [
-        RemoveTombstone(uid) for uid in present.tombstones if uid not in desired.tombstones
+        RemoveTombstone(uid) for uid in current.tombstones if uid not in desired.tombstones
     ]
     return servers + tombstones
 
 
-def _ejection_difference(present: PersistedState, desired: PersistedState) -> list[Change]:
+def _ejection_difference(current: PersistedState, desired: PersistedState) -> list[Change]:
     ejected: list[Change] = [
-        EjectServer(uid) for uid in desired.ejected if uid not in present.ejected
+        EjectServer(uid) for uid in desired.ejected if uid not in current.ejected
     ]
     unejected: list[Change] = [
-        UnejectServer(uid) for uid in present.ejected if uid not in desired.ejected
+        UnejectServer(uid) for uid in current.ejected if uid not in desired.ejected
     ]
     return ejected + unejected
 
 
-def _slice_difference(present: PersistedState, desired: PersistedState) -> list[Change]:
+def _slice_difference(current: PersistedState, desired: PersistedState) -> list[Change]:
     tables: list[Change] = [
         SetSlice(number, table)
         for number, table in desired.slices.items()
-        if present.slices.get(number) != table
+        if current.slices.get(number) != table
     ]
     removed: list[Change] = [
-        RemoveSlice(number) for number in present.slices if number not in desired.slices
+        RemoveSlice(number) for number in current.slices if number not in desired.slices
     ]
     push: list[Change] = []
-    if desired.push is not None and desired.push != present.push:
+    if desired.push is not None and desired.push != current.push:
         push.append(SetPush(desired.push))
     return tables + removed + push
 
 
-def _learned_difference(present: PersistedState, desired: PersistedState) -> list[Change]:
-    figures: list[Change] = [
-        SetLearned(name, figure)
-        for name, figure in desired.learned.items()
-        if present.learned.get(name) != figure
+def _estimate_difference(current: PersistedState, desired: PersistedState) -> list[Change]:
+    estimates: list[Change] = [
+        SetEstimate(name, estimate)
+        for name, estimate in desired.estimates.items()
+        if current.estimates.get(name) != estimate
     ]
     removed: list[Change] = [
-        RemoveLearned(name) for name in present.learned if name not in desired.learned
+        RemoveEstimate(name) for name in current.estimates if name not in desired.estimates
     ]
-    return figures + removed
+    return estimates + removed
--- a/havendyke/recovery/codec.py
+++ b/havendyke/recovery/codec.py
@@ -1,7 +1,7 @@
-"""The kinds and keys of stored records, mapped to changes and back; the only place that has them.
+"""Maps changes to stored records and back; defines all record kinds and field keys.
 
-A stored record is a kind and its fields. `encode` writes the present schema; `decode` also reads
-the earlier ones. Timestamps are stored as `[wall_ms, boot_id, uptime_ms]`.
+A stored record is a kind and its fields. `encode` writes the current schema; `decode` also reads
+earlier ones. Timestamps are stored as `[wall_ms, boot_id, uptime_ms]`.
 """
 
 from collections.abc import Callable, Collection, Mapping
@@ -11,12 +11,12 @@
 from .changes import (
     Change,
     EjectServer,
-    RemoveLearned,
+    RemoveEstimate,
     RemoveServer,
     RemoveSlice,
     RemoveTombstone,
+    SetEstimate,
     SetLastAlive,
-    SetLearned,
     SetListVersion,
     SetPush,
     SetServer,
@@ -24,10 +24,10 @@
     SetTombstone,
     UnejectServer,
 )
-from .records import SCHEMA
+from .records import SCHEMA_VERSION
 from .state import (
+    Estimate,
     EvidenceSource,
-    LearnedFigure,
     PersistedState,
     PushProgress,
     ServerRecord,
@@ -40,8 +40,8 @@
 StoredRecord: TypeAlias = tuple[str, dict[str, Any]]
 
 TOMBSTONE_KIND = "tomb"
-# Bounds of stored numbers, each in its field's unit; a record beyond one is refused.
-MAX_FIGURE = 1e18
+# Bounds of stored numbers, in the unit of their field; a record that exceeds one is rejected.
+MAX_NUMBER = 1e18
 MAX_CELL = 1e9
 MAX_WEIGHT = 1e9
 MAX_SLICE_NUMBER = 65_535
@@ -53,13 +53,13 @@
 
 
 class RecordError(ValueError):
-    """A record whose kind or fields cannot be used; the text names the field."""
+    """A record with an unknown kind or an invalid field; the text names it."""
 
 
-def decode(kind: str, fields: Fields, schema: int = SCHEMA) -> Change:
-    """The change that a stored record makes.
+def decode(kind: str, fields: Fields, schema: int = SCHEMA_VERSION) -> Change:
+    """Returns the change that a stored record describes.
 
-    Raises `RecordError`, also for an unknown kind: without the record, the state would be another.
+    Raises `RecordError`, also for an unknown kind: skipping the record would yield a wrong state.
     """
     if schema == 1:
         fields = _from_schema_1(kind, fields)
@@ -69,10 +69,12 @@
     return decoder(fields)
 
 
-def apply_record(state: PersistedState, kind: str, fields: Fields, schema: int = SCHEMA) -> None:
-    """Makes the change of a stored record in a state; raises `RecordError`.
+def apply_record(
+    state: PersistedState, kind: str, fields: Fields, schema: int = SCHEMA_VERSION
+) -> None:
+    """Applies a stored record to a state; raises `RecordError`.
 
-    A tombstone that cannot be decoded still removes the one that its server had.
+    A tombstone that cannot be decoded still removes the previous tombstone of its server.
     """
     try:
         change = decode(kind, fields, schema)
@@ -84,16 +86,16 @@
 
 
 def encode(change: Change) -> StoredRecord:
-    """The stored record of a change."""
+    """Returns the stored record of a change."""
     return _ENCODERS[type(change)](change)
 
 
 def _from_schema_1(kind: str, fields: Fields) -> Fields:
-    """Schema 1 had a confirmation as seconds of the wall clock, and not its source."""
+    """Converts schema 1, which has confirmations in Unix seconds and without their source."""
     if kind != "entry":
         return fields
-    confirmed: Any = fields.get("confirmed")
-    timestamp = [confirmed * 1000.0, "", 0.0] if type(confirmed) in (int, float) else None
+    confirmed_s: Any = fields.get("confirmed")
+    timestamp = [confirmed_s * 1000.0, "", 0.0] if type(confirmed_s) in (int, float) else None
     return {**fields, "confirmed": timestamp, "by": fields.get("by", EvidenceSource.DISK.value)}
 
 
@@ -104,28 +106,28 @@
     fields: Fields,
     name: str,
     minimum: float = 0.0,
-    maximum: float = MAX_FIGURE,
+    maximum: float = MAX_NUMBER,
     kinds: tuple[type, ...] = (int, float),
 ) -> Any:
     value: Any = fields.get(name)
     if type(value) not in kinds or not minimum <= value <= maximum:
-        raise _bad_field(name, value)
+        raise _field_error(name, value)
     return value
 
 
-def _whole(fields: Fields, name: str, minimum: float = 0, maximum: float = MAX_FIGURE) -> int:
+def _integer(fields: Fields, name: str, minimum: float = 0, maximum: float = MAX_NUMBER) -> int:
     number: int = _number(fields, name, minimum, maximum, (int,))
     return number
 
 
-def _text(fields: Fields, name: str, allowed: Collection[str] = ()) -> str:
+def _string(fields: Fields, name: str, allowed: Collection[str] = ()) -> str:
     value = fields.get(name)
     if type(value) is not str or (allowed and value not in allowed):
-        raise _bad_field(name, value)
+        raise _field_error(name, value)
     return value
 
 
-def _bad_field(name: str, value: object) -> RecordError:
+def _field_error(name: str, value: object) -> RecordError:
     return RecordError(f"'{name}' is {value!r}"[:MAX_ERROR_LENGTH])
 
 
@@ -136,7 +138,7 @@
         type(stored) is not list
         or len(stored) != 3
         or type(stored[1]) is not str
-        or not all(type(stored[place]) in (int, float) for place in (0, 2))
+        or not all(type(stored[index]) in (int, float) for index in (0, 2))
     ):
         raise RecordError(f"a stamp is {stored!r}"[:MAX_ERROR_LENGTH])
     return Timestamp(float(stored[0]), stored[1], float(stored[2]))
@@ -153,29 +155,29 @@
 
 def _decode_server(fields: Fields) -> SetServer:
     record = ServerRecord(
-        endpoint=_text(fields, "endpoint"),
-        zone=_text(fields, "zone"),
-        machine_kind=_text(fields, "model"),
-        cell=_whole(fields, "cell", -MAX_CELL, MAX_CELL),
-        state=ServerState(_text(fields, "state", SERVER_STATES)),
+        endpoint=_string(fields, "endpoint"),
+        zone=_string(fields, "zone"),
+        machine_kind=_string(fields, "model"),
+        cell=_integer(fields, "cell", -MAX_CELL, MAX_CELL),
+        state=ServerState(_string(fields, "state", SERVER_STATES)),
         size=_number(fields, "size"),
         started_ms=_number(fields, "boot"),
-        list_version=_whole(fields, "lists", -1),
-        confirmed=_timestamp(fields.get("confirmed")),
-        source=EvidenceSource(_text(fields, "by", SOURCES)),
+        list_version=_integer(fields, "lists", -1),
+        confirmed_at=_timestamp(fields.get("confirmed")),
+        source=EvidenceSource(_string(fields, "by", SOURCES)),
         assumed_start_ms=_number(fields, "assumed"),
     )
-    return SetServer(_text(fields, "uid"), record)
+    return SetServer(_string(fields, "uid"), record)
 
 
 def _decode_tombstone(fields: Fields) -> SetTombstone:
     return SetTombstone(
-        _text(fields, "uid"),
+        _string(fields, "uid"),
         Tombstone(
             started_ms=_number(fields, "boot"),
-            state=ServerState(_text(fields, "state", TOMBSTONE_STATES)),
-            list_version=_whole(fields, "lists", -1),
-            recorded=_timestamp(fields.get("at")),
+            state=ServerState(_string(fields, "state", TOMBSTONE_STATES)),
+            list_version=_integer(fields, "lists", -1),
+            recorded_at=_timestamp(fields.get("at")),
         ),
     )
 
@@ -185,43 +187,43 @@
     if type(weights) is not dict or not all(
         type(weight) in (int, float) and 0 <= weight <= MAX_WEIGHT for weight in weights.values()
     ):
-        raise _bad_field("lines", weights)
+        raise _field_error("lines", weights)
     return weights
 
 
 def _decode_slice(fields: Fields) -> SetSlice:
     table = SliceTable(_decode_weights(fields), bool(fields.get("held")))
-    return SetSlice(_whole(fields, "number", 0, MAX_SLICE_NUMBER), table)
+    return SetSlice(_integer(fields, "number", 0, MAX_SLICE_NUMBER), table)
 
 
 def _decode_push(fields: Fields) -> SetPush:
     return SetPush(
         PushProgress(
-            nonce=_whole(fields, "last"),
-            acknowledgements=_whole(fields, "answered", 0, MAX_ACKNOWLEDGEMENTS),
+            nonce=_integer(fields, "last"),
+            acknowledgements=_integer(fields, "answered", 0, MAX_ACKNOWLEDGEMENTS),
         )
     )
 
 
-def _decode_learned(fields: Fields) -> SetLearned:
-    figure = LearnedFigure(_number(fields, "figure"), _timestamp(fields.get("at")))
-    return SetLearned(_text(fields, "what"), figure)
+def _decode_estimate(fields: Fields) -> SetEstimate:
+    estimate = Estimate(_number(fields, "figure"), _timestamp(fields.get("at")))
+    return SetEstimate(_string(fields, "what"), estimate)
 
 
 _DECODERS: dict[str, Callable[[Fields], Change]] = {
-    "lists": lambda fields: SetListVersion(_whole(fields, "version", -1)),
+    "lists": lambda fields: SetListVersion(_integer(fields, "version", -1)),
     "alive": lambda fields: SetLastAlive(_timestamp(fields.get("at"))),
     "entry": _decode_server,
-    "drop": lambda fields: RemoveServer(_text(fields, "uid")),
+    "drop": lambda fields: RemoveServer(_string(fields, "uid")),
     TOMBSTONE_KIND: _decode_tombstone,
-    "lift": lambda fields: RemoveTombstone(_text(fields, "uid")),
-    "shut": lambda fields: EjectServer(_text(fields, "uid")),
-    "open": lambda fields: UnejectServer(_text(fields, "uid")),
+    "lift": lambda fields: RemoveTombstone(_string(fields, "uid")),
+    "shut": lambda fields: EjectServer(_string(fields, "uid")),
+    "open": lambda fields: UnejectServer(_string(fields, "uid")),
     "slice": _decode_slice,
-    "unslice": lambda fields: RemoveSlice(_whole(fields, "number", 0, MAX_SLICE_NUMBER)),
+    "unslice": lambda fields: RemoveSlice(_integer(fields, "number", 0, MAX_SLICE_NUMBER)),
     "marks": _decode_push,
-    "learned": _decode_learned,
-    "forget": lambda fields: RemoveLearned(_text(fields, "what")),
+    "learned": _decode_estimate,
+    "forget": lambda fields: RemoveEstimate(_string(fields, "what")),
 }
 
 
@@ -242,7 +244,7 @@
         "lists": record.list_version,
         "by": record.source.value,
         "assumed": record.assumed_start_ms,
-        "confirmed": _stored_timestamp(record.confirmed),
+        "confirmed": _stored_timestamp(record.confirmed_at),
     }
 
 
@@ -253,7 +255,7 @@
         "boot": tombstone.started_ms,
         "state": tombstone.state.value,
         "lists": tombstone.list_version,
-        "at": _stored_timestamp(tombstone.recorded),
+        "at": _stored_timestamp(tombstone.recorded_at),
     }
 
 
@@ -267,12 +269,12 @@
     return "marks", {"last": push.nonce, "answered": push.acknowledgements}
 
 
-def _encode_learned(change: SetLearned) -> StoredRecord:
-    figure = change.figure
+def _encode_estimate(change: SetEstimate) -> StoredRecord:
+    estimate = change.estimate
     return "learned", {
         "what": change.name,
-        "figure": figure.value,
-        "at": _stored_timestamp(figure.observed),
+        "figure": estimate.value,
+        "at": _stored_timestamp(estimate.observed_at),
     }
 
 
@@ -288,6 +290,6 @@
     SetSlice: _encode_slice,
     RemoveSlice: lambda change: ("unslice", {"number": change.number}),
     SetPush: _encode_push,
-    SetLearned: _encode_learned,
-    RemoveLearned: lambda change: ("forget", {"what": change.name}),
+    SetEstimate: _encode_estimate,
+    RemoveEstimate: lambda change: ("forget", {"what": change.name}),
 }
--- a/havendyke/recovery/directory.py
+++ b/havendyke/recovery/directory.py
@@ -1,10 +1,10 @@
-"""The directory of the state: one snapshot and the log of the changes after it, under a lock.
+"""Stores the state in a locked directory, as a snapshot and a log of the changes after it.
 
-`snapshot-N` holds a complete state and ends with an end marker, `log-N` the changes after it. A new
-generation is written under another name, made durable and renamed; only then is the one before the
-last removed. After a crash the newest readable snapshot, with the complete commits of its log, is a
-state that was committed. A snapshot that cannot be used is renamed with the prefix `damaged-`, so
-that an operator can examine it.
+`snapshot-N` holds a complete state and ends with an end marker; `log-N` holds the changes after it.
+A new snapshot is written under a temporary name, synced and renamed; only then are generations
+before the previous one removed. After a crash, the newest readable snapshot with the complete
+commits of its log is a state that was committed. A snapshot that cannot be used is renamed with the
+prefix `damaged-`, so that an operator can examine it.
 """
 
 import re
@@ -17,11 +17,11 @@
 from .codec import StoredRecord, encode
 from .disk import StateDisk
 from .generations import (
-    LOG_NAME,
-    SNAPSHOT_NAME,
+    LOG_PATTERN,
+    SNAPSHOT_PATTERN,
     SnapshotError,
     describe_error,
-    generations,
+    list_generations,
     log_name,
     read_snapshot,
     replay_log,
@@ -31,40 +31,40 @@
 
 DEFAULT_MAX_LOG_BYTES = 8 << 20
 DAMAGED_PREFIX = "damaged-"
-# Other names with the prefix are an operator's: they are neither counted nor removed.
-DAMAGED_NAME = re.compile(DAMAGED_PREFIX + SNAPSHOT_NAME.pattern)
-MAX_DAMAGED_FILES = 5  # beyond it the oldest is removed
-MAX_GENERATIONS = 2  # the older one is the fallback where the newest snapshot is damaged
+# Other names with the prefix belong to the operator, and are neither counted nor removed.
+DAMAGED_PATTERN = re.compile(DAMAGED_PREFIX + SNAPSHOT_PATTERN.pattern)
+MAX_DAMAGED_FILES = 5  # beyond it, the oldest are removed
+MAX_GENERATIONS = 2  # the older one is the fallback if the newest snapshot is damaged
 UNFINISHED_SNAPSHOT_NAME = "new"
 END_MARKER: StoredRecord = (records.END, {})
 
 
 class DirectoryLockedError(OSError):
-    """Another process uses the directory."""
+    """Another process has locked the directory."""
 
 
 @dataclass
 class LoadedState:
-    """What a directory held; generation 0 where it held no state."""
+    """The state that a directory contained; generation 0 if there was none."""
 
     state: PersistedState
     generation: int = 0
     replayed_changes: int = 0
-    findings: tuple[str, ...] = ()  # lines for operators: what was used, and what was wrong
+    findings: tuple[str, ...] = ()  # lines for operators: what was loaded, and any damage
 
 
 class StateDirectory:
-    """Loads the newest state, and commits changes to it.
+    """Loads the newest state and commits changes to it.
 
-    `open` comes first. Owns the lock and the open log.
+    Owns the lock and the open log. Call `open` first.
     """
 
     def __init__(self, disk: StateDisk, max_log_bytes: int = DEFAULT_MAX_LOG_BYTES) -> None:
-        """A log over `max_log_bytes` ends its generation at the next commit."""
+        """A log larger than `max_log_bytes` ends its generation at the next commit."""
         self.disk = disk
         self.generation = 0
         self.log_bytes = 0
-        # Why the log cannot be appended to; the next commit begins a new generation.
+        # Why the log cannot be appended to; the next commit then starts a new generation.
         self.write_error: OSError | records.RecordSizeError | None = None
         self._max_log_bytes = max_log_bytes
         self._lock: int | None = None
@@ -72,13 +72,13 @@
         self._next_serial = 0
 
     def open(self, write: bool = True) -> LoadedState:
-        """Loads the newest state and, to write, locks the directory and begins a generation.
+        """Loads the newest state; with `write`, locks the directory and starts a generation.
 
-        Raises `DirectoryLockedError`, and OSError where the directory cannot be read. One that
-        cannot be written is no error: `write_error` has it, and the first commit retries.
+        Raises `DirectoryLockedError`, and OSError if the directory cannot be read. If it cannot be
+        written to, sets `write_error` instead, and the first commit retries.
 
-        Without `write` it takes no lock and changes no file, so that it can read the directory of a
-        running assigner.
+        Without `write`, takes no lock and changes no file, so that the directory of a running
+        assigner can be read.
         """
         if write:
             self._acquire_lock()
@@ -87,8 +87,8 @@
         self.generation = max(
             [
                 loaded.generation,
-                *generations(names, SNAPSHOT_NAME),
-                *generations(names, LOG_NAME),
+                *list_generations(names, SNAPSHOT_PATTERN),
+                *list_generations(names, LOG_PATTERN),
             ]
         )
         if write:
@@ -100,10 +100,10 @@
         return loaded
 
     def commit(self, changes: Sequence[Change], state: PersistedState) -> None:
-        """Makes the changes durable, all or none; raises OSError and `RecordSizeError`.
+        """Makes the changes durable atomically; raises OSError and `RecordSizeError`.
 
-        `state` already has the changes: where the log is full, or a write may have damaged it, all
-        of `state` begins a new generation instead.
+        `state` already includes the changes: if the log is full, or a failed write may have damaged
+        it, a new generation starts with a snapshot of `state` instead.
         """
         if self.write_error is not None or self.log_bytes > self._max_log_bytes:
             self.rotate(state)
@@ -115,17 +115,17 @@
             self._write(self._log, data)
             self.disk.sync(self._log)
         except (OSError, records.RecordSizeError) as error:
-            # How much of it is on the disk is unknown, so nothing may be appended.
+            # The log may end with a part of the commit, so nothing may be appended to it.
             self.write_error = error
             self._next_serial = first_serial
             raise
         self.log_bytes += len(data)
 
     def rotate(self, state: PersistedState) -> None:
-        """Begins a new generation with `state` as its snapshot.
+        """Starts a new generation with `state` as its snapshot.
 
-        Raises OSError and `RecordSizeError`, with the files of the generation before untouched; the
-        next write must be another rotation then, since the log's serials have begun anew.
+        Raises OSError and `RecordSizeError`, and leaves the files of the previous generation
+        unchanged; the next write must then be another rotation, as the serial numbers were reset.
         """
         generation = self.generation + 1
         begin_marker: StoredRecord = (records.BEGIN, {"generation": generation})
@@ -169,7 +169,7 @@
 
     def _load(self, names: Sequence[str], quarantine: bool) -> LoadedState:
         findings: list[str] = []
-        for generation in generations(names, SNAPSHOT_NAME):
+        for generation in list_generations(names, SNAPSHOT_PATTERN):
             name = snapshot_name(generation)
             try:
                 state = read_snapshot(self.disk, generation)
@@ -186,14 +186,14 @@
         return LoadedState(PersistedState(), findings=(*findings, "no state was found"))
 
     def _quarantine(self, name: str) -> None:
-        """Renames a damaged file, so that an operator can examine it."""
+        """Renames a damaged snapshot, so that an operator can examine it."""
         try:
             self.disk.rename(name, f"{DAMAGED_PREFIX}{name}")
-            damaged = generations(self.disk.list_names(), DAMAGED_NAME)
+            damaged = list_generations(self.disk.list_names(), DAMAGED_PATTERN)
             for oldest in damaged[MAX_DAMAGED_FILES:]:
                 self.disk.remove(f"{DAMAGED_PREFIX}{snapshot_name(oldest)}")
         except OSError:
-            # It stays where it is; no later generation has its name.
+            # The file keeps its name, which no later generation uses.
             pass
 
     # Writing
@@ -221,10 +221,10 @@
 
     def _remove_old_generations(self) -> None:
         names = self.disk.list_names()
-        newest = generations(names, SNAPSHOT_NAME)[:MAX_GENERATIONS]
+        newest = list_generations(names, SNAPSHOT_PATTERN)[:MAX_GENERATIONS]
         for name in names:
-            match = SNAPSHOT_NAME.fullmatch(name) or LOG_NAME.fullmatch(name)
+            match = SNAPSHOT_PATTERN.fullmatch(name) or LOG_PATTERN.fullmatch(name)
             if match and int(match[1]) not in newest:
-                # A folder in its place, say: the new generation stands all the same.
+                # The new generation is complete even if, for example, a directory has this name.
                 with suppress(OSError):
                     self.disk.remove(name)
--- a/havendyke/recovery/disk.py
+++ b/havendyke/recovery/disk.py
@@ -1,4 +1,4 @@
-"""The system calls that the state's directory needs, so that a test can fail at any of them."""
+"""The system calls of `StateDirectory`, behind an interface so that tests can fail any of them."""
 
 import errno
 import fcntl
@@ -12,66 +12,66 @@
 
 
 class StateDisk(Protocol):
-    """What `StateDirectory` asks of a disk. Names are those of files in its directory.
+    """The file operations of `StateDirectory`; names are those of files in its directory.
 
-    Each method raises OSError where the system call fails.
+    Each method raises OSError if the system call fails.
     """
 
     def create_directory(self) -> None:
-        """Creates the directory where it is missing."""
+        """Creates the directory if it does not exist."""
 
     def lock(self) -> int:
-        """Locks the directory for this process, and returns the lock's handle for `unlock`.
+        """Locks the directory for this process; returns a handle for `unlock`.
 
-        Raises BlockingIOError where another process holds it.
+        Raises BlockingIOError if another process holds the lock.
         """
 
     def unlock(self, handle: int) -> None:
         """Releases the lock."""
 
     def list_names(self) -> list[str]:
-        """The names of all files, sorted."""
+        """Returns the names of all files, sorted."""
 
     def read(self, name: str) -> bytes:
-        """A file's bytes."""
+        """Returns the content of a file."""
 
     def create(self, name: str) -> int:
-        """Opens a file for writing, and empties it where it exists."""
+        """Opens a file for writing; truncates an existing one."""
 
     def write(self, handle: int, data: bytes) -> int:
-        """Writes some of the bytes; returns how many."""
+        """Writes a part or all of `data`; returns the number of bytes written."""
 
     def sync(self, handle: int) -> None:
-        """Makes a file's bytes durable."""
+        """Flushes the content of a file to the disk."""
 
     def close(self, handle: int) -> None:
         """Closes a file."""
 
     def rename(self, old: str, new: str) -> None:
-        """Renames a file, in the place of one that has the name."""
+        """Renames a file; replaces an existing one."""
 
     def remove(self, name: str) -> None:
         """Removes a file."""
 
     def sync_directory(self) -> None:
-        """Makes the creations, renames and removals of files durable."""
+        """Flushes created, renamed and removed directory entries to the disk."""
 
 
 class Disk:
-    """The operating system's calls on one directory."""
+    """The file operations on a directory of the operating system."""
 
     def __init__(self, directory: str) -> None:
-        """Opens nothing yet; the directory may be missing."""
+        """Opens nothing yet; the directory need not exist."""
         self.directory = directory
 
     def create_directory(self) -> None:
-        """Creates the directory where it is missing."""
+        """Creates the directory if it does not exist."""
         os.makedirs(self.directory, mode=DIRECTORY_MODE, exist_ok=True)
 
     def lock(self) -> int:
-        """Locks the directory for this process, and returns the lock's handle for `unlock`.
+        """Locks the directory for this process; returns a handle for `unlock`.
 
-        Raises BlockingIOError where another process holds it.
+        Raises BlockingIOError if another process holds the lock.
         """
         handle = os.open(self._path(LOCK_NAME), os.O_RDWR | os.O_CREAT, FILE_MODE)
         try:
@@ -86,31 +86,31 @@
         os.close(handle)
 
     def list_names(self) -> list[str]:
-        """The names of all files, sorted."""
+        """Returns the names of all files, sorted."""
         return sorted(os.listdir(self.directory))
 
     def read(self, name: str) -> bytes:
-        """A file's bytes."""
+        """Returns the content of a file."""
         path = self._path(name)
-        # A pipe without a writer would block the start.
+        # Opening a FIFO without a writer would block the start.
         _require_regular(name, os.stat(path))
         with open(path, "rb") as file:
             return file.read()
 
     def create(self, name: str) -> int:
-        """Opens a file for writing, and empties it where it exists."""
+        """Opens a file for writing; truncates an existing one."""
         path = self._path(name)
         if os.path.lexists(path):
-            # Through a link, a file elsewhere would be emptied.
+            # Opening a symbolic link would truncate its target.
             _require_regular(name, os.lstat(path))
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
 
     def write(self, handle: int, data: bytes) -> int:
-        """Writes some of the bytes; returns how many."""
+        """Writes a part or all of `data`; returns the number of bytes written."""
         return os.write(handle, data)
 
     def sync(self, handle: int) -> None:
-        """Makes a file's bytes durable."""
+        """Flushes the content of a file to the disk."""
         os.fsync(handle)
 
     def close(self, handle: int) -> None:
@@ -118,7 +118,7 @@
         os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Renames a file, in the place of one that has the name."""
+        """Renames a file; replaces an existing one."""
         os.rename(self._path(old), self._path(new))
 
     def remove(self, name: str) -> None:
@@ -126,7 +126,7 @@
         os.unlink(self._path(name))
 
     def sync_directory(self) -> None:
-        """Makes the creations, renames and removals of files durable."""
+        """Flushes created, renamed and removed directory entries to the disk."""
         handle = os.open(self.directory, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(handle)
--- a/havendyke/recovery/durable_state.py
+++ b/havendyke/recovery/durable_state.py
@@ -1,7 +1,7 @@
-"""What the assigner holds of recovery: the directory, the tracker and the writer behind one class.
+"""The assigner's interface to recovery, which combines the directory, the tracker and the writer.
 
-It decides nothing. An assigner starts also where the directory cannot be used: then it persists
-nothing, and logs `state_not_persisted`.
+An assigner also starts if the directory cannot be used: it then logs `state_not_persisted` and
+persists nothing.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -25,57 +25,60 @@
 
 CLOSE_TIMEOUT_S = 0.3
 MAX_ERROR_LENGTH = 200  # characters
-# Bounds of listed figures: within those of `codec`, so that every stored record can be read.
+# Bounds of listed numbers; not above those of `codec`, so that every stored record can be read.
 MAX_CELL = 1e9
-MAX_FIGURE = 10**17
+MAX_NUMBER = 10**17
 
 
 @dataclass(frozen=True)
 class StateOptions:
-    """The section [state] of the operator's file; see `WriterOptions` for the writer's options."""
+    """The section [state] of the operator's file; `WriterOptions` describes the writer's part."""
 
     directory: str
-    gather_ms: float = 50.0
+    commit_delay_ms: float = 50.0
     max_pending_changes: int = 20_000
-    max_log_bytes: int = DEFAULT_MAX_LOG_BYTES  # a larger log is replaced by a new generation
-    retry_ms: float = 500.0
-    max_retry_ms: float = 30_000.0
+    max_log_bytes: int = DEFAULT_MAX_LOG_BYTES  # a larger log ends its generation
+    retry_delay_ms: float = 500.0
+    max_retry_delay_ms: float = 30_000.0
 
     @classmethod
     def from_section(cls, values: Mapping[str, Any]) -> "StateOptions":
-        """The options of the section's values by key, as the reader of the file returns them."""
+        """Creates the options from the section's values by key."""
         return cls(
             directory=values["folder"],
-            gather_ms=values["gather"],
+            commit_delay_ms=values["gather"],
             max_pending_changes=values["pending"],
             max_log_bytes=values["log-most"],
-            retry_ms=values["again"],
-            max_retry_ms=values["again-most"],
+            retry_delay_ms=values["again"],
+            max_retry_delay_ms=values["again-most"],
         )
 
     @property
     def writer(self) -> WriterOptions:
-        """The writer's part of the options."""
+        """The options of the writer."""
         return WriterOptions(
-            self.gather_ms, self.max_pending_changes, self.retry_ms, self.max_retry_ms
+            self.commit_delay_ms,
+            self.max_pending_changes,
+            self.retry_delay_ms,
+            self.max_retry_delay_ms,
         )
 
 
 class Writer(Protocol):
-    """What `DurableState` asks of a writer; `StateWriter`, except in tests."""
+    """Commits changes; implemented by `StateWriter`, except in tests."""
 
     counts: dict[str, int]
 
     def start(self) -> None:
-        """Begins to commit; called once, before the first `submit`."""
+        """Starts the writer; called once, before the first `submit`."""
 
     def submit(
         self, changes: Sequence[Change], take_snapshot: Callable[[], PersistedState]
     ) -> None:
-        """Hands over changes to commit; returns at once."""
+        """Passes changes to the writer without waiting for the commit."""
 
     def stop(self, timeout_s: float) -> None:
-        """Commits pending changes and ends, after `timeout_s` in any case."""
+        """Commits pending changes and stops; returns after `timeout_s` at the latest."""
 
 
 class ReceivedEntry(Protocol):
@@ -87,7 +90,7 @@
 
     @property
     def endpoint(self) -> str:
-        """`host:port`, empty where the list has none."""
+        """`host:port`; empty if the list has none."""
 
     @property
     def zone_name(self) -> str:
@@ -99,35 +102,35 @@
 
     @property
     def started_unix_ms(self) -> float:
-        """Unix time of the last start in ms, 0 for long ago."""
+        """Unix time of the last start in ms; 0: long ago."""
 
     @property
     def entry(self) -> core.EndpointEntry:
-        """The entry as the controller gets it."""
+        """The entry as passed to the controller."""
 
 
 ListFilter = Callable[[core.EndpointListUpdate, Sequence[Any], int], core.EndpointListUpdate]
 
 
 class EndpointListAdapter(Protocol):
-    """What is needed of the adapter that reads endpoint lists."""
+    """The part of the endpoint list adapter that recovery uses."""
 
     endpoints: dict[Server, str]
     zones: dict[str, int]
     machine_kinds: dict[str, int]
-    filter: ListFilter | None  # sees each list before the controller does, and may change it
+    filter: ListFilter | None  # called with each list; returns it for the controller
 
     def start_ms(self, server: Server, unix_ms: float) -> float | None:
-        """A server's start on the assigner's clock, from its Unix time; None for long ago."""
+        """Converts a server's start from Unix time to the assigner's clock; None: long ago."""
 
     def clock_ms(self, unix_ms: float) -> float | None:
-        """A Unix time on the assigner's clock; None for 0, which means long ago."""
+        """Converts a Unix time to the assigner's clock; None for 0, which means long ago."""
 
 
 class DurableState:
     """The persisted state of one assigner.
 
-    `attach` comes first, then `apply_list` before and `record` after each reconciliation, and
+    Call `attach` first, then `apply_list` before and `record` after each reconciliation, and
     `close` at the end. `log` may be called from the writer's thread.
     """
 
@@ -145,7 +148,7 @@
     ) -> None:
         """Loads the state and locks the directory.
 
-        Tests pass `disk`, `clock` and `writer_class` in place of the machine's.
+        Tests replace `disk`, `clock` and `writer_class`.
         """
         self.options = options
         self.log = log
@@ -162,9 +165,9 @@
     def attach(
         self, registry: ObjectRegistry, endpoint_lists: EndpointListAdapter, warm_up_ms: float
     ) -> core.EndpointListUpdate | None:
-        """Begins to track and to commit.
+        """Starts tracking and committing.
 
-        Returns the recovered endpoint list to start with, None where no server was persisted.
+        Returns the recovered endpoint list, or None if no server was persisted.
         """
         state = self.loaded.state
         self._registry = registry
@@ -195,11 +198,11 @@
     def apply_list(
         self, update: core.EndpointListUpdate, entries: Sequence[ReceivedEntry], version: int
     ) -> core.EndpointListUpdate:
-        """The filter of endpoint lists, called for each of them before its reconciliation.
+        """Filters an endpoint list before its reconciliation.
 
-        Notes the list and returns it as the controller is to see it. `version` is the list's.
+        Records the list and returns it as the controller is to see it. `version` is the list's.
         """
-        assert self.tracker is not None, "attach comes first"
+        assert self.tracker is not None, "attach() has not been called"
         listed = [
             ListedServer(received.server_id, _listed_record(received, version), received.entry)
             for received in entries
@@ -209,12 +212,12 @@
     def record(
         self, events: Iterable[core.Event], orders: Iterable[core.Order]
     ) -> core.EndpointListUpdate | None:
-        """Persists a reconciliation's events and orders.
+        """Persists the effects of a reconciliation's events and orders.
 
-        Returns the servers in which they raised the trust, as a list for the next reconciliation;
-        None where there are none.
+        Returns the servers whose trust was raised, as an update for the next reconciliation, or
+        None if there are none.
         """
-        assert self.tracker is not None, "attach comes first"
+        assert self.tracker is not None, "attach() has not been called"
         raised = self.tracker.record(events, orders)
         self.tracker.record_estimates(self._registry.controller)
         self._submit(self.tracker)
@@ -224,7 +227,7 @@
         return core.EndpointListUpdate(core.ListScope.CHANGES, entries)
 
     def counters(self) -> dict[str, int]:
-        """The counters of tracker and writer, named as in the log."""
+        """Returns the counters of the tracker and the writer, with the prefix `state_`."""
         counts: dict[str, int] = {}
         if self.tracker is not None:
             counts |= self.tracker.counts
@@ -233,7 +236,7 @@
         return {f"state_{name}": count for name, count in counts.items()}
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Commits pending changes, waits `timeout_s` at most, and releases the directory."""
+        """Commits pending changes within `timeout_s` and releases the directory."""
         if self._writer is not None and self.tracker is not None:
             self._submit(self.tracker)
             self._writer.stop(timeout_s)
@@ -243,7 +246,7 @@
         return read_timestamp(self._boot_id)
 
     def _load(self) -> tuple[LoadedState, bool]:
-        """The persisted state, and whether it may be written."""
+        """Returns the persisted state, and whether the directory can be written to."""
         try:
             return self._directory.open(), True
         except DirectoryLockedError as error:
@@ -262,8 +265,8 @@
         try:
             self._writer.submit(tracker.take_changes(), tracker.snapshot)
         except RecordError as error:
-            # What cannot be stored must cost neither the reconciliation, whose orders have left,
-            # nor the end of the process.
+            # A record that cannot be stored must interrupt neither the reconciliation, whose orders
+            # have already been sent, nor the shutdown.
             self.log("state_not_persisted", cause=str(error)[:MAX_ERROR_LENGTH])
 
     def _entry(self, assessment: ServerAssessment) -> core.EndpointEntry:
@@ -288,7 +291,7 @@
 
 
 def _listed_record(received: ReceivedEntry, version: int) -> ServerRecord:
-    """The record of a listed entry, with figures that can be stored whatever the list states."""
+    """Returns the record of a listed entry, with numbers limited to the bounds of the codec."""
     return ServerRecord(
         endpoint=received.endpoint,
         zone=received.zone_name,
@@ -296,8 +299,8 @@
         cell=int(_bounded(received.entry.cell, -MAX_CELL, MAX_CELL)),
         state=core.ServerState(received.entry.state),
         size=float(received.entry.size),
-        started_ms=float(_bounded(float(received.started_unix_ms), 0.0, MAX_FIGURE)),
-        list_version=int(_bounded(version, -1, MAX_FIGURE)),
+        started_ms=float(_bounded(float(received.started_unix_ms), 0.0, MAX_NUMBER)),
+        list_version=int(_bounded(version, -1, MAX_NUMBER)),
     )
 
 
--- a/havendyke/recovery/generations.py
+++ b/havendyke/recovery/generations.py
@@ -1,4 +1,4 @@
-"""Reads one generation of the state: its snapshot, and the log of the changes after it."""
+"""Reads a generation of the state: a snapshot and the log of the changes after it."""
 
 import re
 from collections.abc import Sequence
@@ -9,40 +9,41 @@
 from .records import BEGIN, END, Record
 from .state import PersistedState
 
-# As `snapshot_name` and `log_name` write them: another spelling of a number is another's file.
-SNAPSHOT_NAME = re.compile(r"snapshot-(0|[1-9][0-9]*)")
-LOG_NAME = re.compile(r"log-(0|[1-9][0-9]*)")
+# Exactly the names that `snapshot_name` and `log_name` return: a file whose number is written in
+# another way, such as `snapshot-02`, was not created by this program.
+SNAPSHOT_PATTERN = re.compile(r"snapshot-(0|[1-9][0-9]*)")
+LOG_PATTERN = re.compile(r"log-(0|[1-9][0-9]*)")
 
 
 class SnapshotError(ValueError):
-    """A snapshot that cannot be used; the text says why."""
+    """A snapshot that cannot be used; the text states the reason."""
 
 
 def snapshot_name(generation: int) -> str:
-    """The name of a generation's snapshot."""
+    """Returns the file name of a generation's snapshot."""
     return f"snapshot-{generation}"
 
 
 def log_name(generation: int) -> str:
-    """The name of a generation's log."""
+    """Returns the file name of a generation's log."""
     return f"log-{generation}"
 
 
-def generations(names: Sequence[str], pattern: re.Pattern[str]) -> list[int]:
-    """The generations of the names that match, newest first."""
+def list_generations(names: Sequence[str], pattern: re.Pattern[str]) -> list[int]:
+    """Returns the generations of the file names that match, newest first."""
     numbers = [int(match[1]) for name in names if (match := pattern.fullmatch(name))]
     return sorted(numbers, reverse=True)
 
 
 def describe_error(error: Exception) -> str:
-    """The system's text for an error where there is one (without the path), else the error's."""
+    """Returns the system's text for an error, without the path, or else the error's own text."""
     return str(getattr(error, "strerror", None) or error)
 
 
 def read_snapshot(disk: StateDisk, generation: int) -> PersistedState:
-    """The state of a snapshot; raises `SnapshotError`.
+    """Returns the state of a snapshot; raises `SnapshotError`.
 
-    A snapshot is used completely or not at all, since a part of it is a state that never was.
+    A snapshot is used completely or not at all, since a part of it is not a state that existed.
     """
     try:
         file = records.read_records(disk.read(snapshot_name(generation)))
@@ -60,9 +61,9 @@
 
 
 def replay_log(disk: StateDisk, generation: int, state: PersistedState, findings: list[str]) -> int:
-    """Makes the changes of a log's complete commits in `state`; returns how many.
+    """Applies the complete commits of a log to `state`; returns the number of changes.
 
-    What is wrong with the log is added to `findings`.
+    Adds any damage to the log to `findings`.
     """
     name = log_name(generation)
     try:
@@ -73,7 +74,7 @@
     if file.records and not _is_of_generation(file.records[0], generation):
         findings.append(f"{name}: of another generation")
         return 0
-    committed = _committed_length(file.records)
+    committed = _committed_count(file.records)
     replayed = _replay(state, file.schema, file.records[:committed])
     if file.damage:
         findings.append(f"{name}: {file.damage.reason} at byte {file.damage.offset}")
@@ -97,8 +98,8 @@
     )
 
 
-def _committed_length(file_records: Sequence[Record]) -> int:
-    """The number of records up to the last marker: a commit without its end never was."""
+def _committed_count(file_records: Sequence[Record]) -> int:
+    """Returns the number of records up to the last marker; ignores an incomplete commit."""
     for length in range(len(file_records), 0, -1):
         if file_records[length - 1].is_marker:
             return length
@@ -106,12 +107,12 @@
 
 
 def _replay(state: PersistedState, schema: int, file_records: Sequence[Record]) -> int:
-    """Makes changes until one cannot be decoded; returns how many records were used."""
-    for used, record in enumerate(file_records):
+    """Applies changes until one cannot be decoded; returns the number of records before it."""
+    for index, record in enumerate(file_records):
         if record.is_marker:
             continue
         try:
             apply_record(state, record.kind, record.fields, schema)
         except RecordError:
-            return used
+            return index
     return len(file_records)
--- a/havendyke/recovery/machine_clock.py
+++ b/havendyke/recovery/machine_clock.py
@@ -1,4 +1,4 @@
-"""Reads the machine's clocks."""
+"""Reads the machine's clocks and boot id."""
 
 import time
 
@@ -8,7 +8,7 @@
 
 
 def read_boot_id() -> str:
-    """The id of the machine's boot; empty where the system tells none."""
+    """Returns the id of the current boot; empty if the system provides none."""
     try:
         with open(BOOT_ID_PATH) as file:
             return file.read().strip()
@@ -17,8 +17,8 @@
 
 
 def read_timestamp(boot_id: str | None = None) -> Timestamp:
-    """The present time; the boot's id is read where it is not passed."""
-    # The monotonic clock stands still while the machine is suspended; that of the boot goes on.
+    """Returns the current time; reads the boot id unless it is passed."""
+    # Unlike the monotonic clock, CLOCK_BOOTTIME advances while the machine is suspended.
     if hasattr(time, "CLOCK_BOOTTIME"):
         uptime_s = time.clock_gettime(time.CLOCK_BOOTTIME)
     else:
--- a/havendyke/recovery/records.py
+++ b/havendyke/recovery/records.py
@@ -1,9 +1,10 @@
-"""Records as bytes: a file header, and frames whose checksum shows torn or altered bytes.
+"""Encodes records as framed bytes with checksums, and decodes them.
 
-A file is a header of 8 bytes (6 of magic, 2 of schema) and frames. A frame is 4 bytes of length, 8
-of checksum, both big-endian, and the payload: a JSON array `[serial, kind, fields]`. The checksum
-(xxHash, 64 bits, seeded with the schema) covers length and payload. Serials rise by one within a
-file, so that a missing or repeated frame is found.
+A file consists of an 8-byte header (6 bytes of magic, 2 of schema version) and frames. A frame
+consists of a 4-byte length and an 8-byte checksum, both big-endian, and the payload, a JSON array
+`[serial, kind, fields]`. The checksum (64-bit xxHash, seeded with the schema version) covers length
+and payload, and detects truncated or altered frames. Serials increase by one within a file, so that
+missing and repeated frames are detected.
 """
 
 from collections.abc import Mapping
@@ -14,27 +15,27 @@
 import xxhash
 
 MAGIC = b"HVDYKE"
-SCHEMA = 2  # what is written; files from schema 1 on are read
+SCHEMA_VERSION = 2  # of written files; versions from 1 on can be read
 HEADER_BYTES = 8
 LENGTH_BYTES = 4
 FRAME_HEADER_BYTES = 12  # length and checksum
-MAX_PAYLOAD_BYTES = 1 << 20  # a frame that states more has a damaged length
+MAX_PAYLOAD_BYTES = 1 << 20  # a greater length means that the frame is damaged
 
-# Kinds of the records that enclose a file's changes; the other kinds are in `codec`.
+# Kinds of marker records, which delimit commits; the kinds of changes are in `codec`.
 BEGIN = "begin"
 END = "end"
 
 
 class RecordSizeError(ValueError):
-    """A record that is too large to be stored."""
+    """A record that exceeds `MAX_PAYLOAD_BYTES`."""
 
 
 class RecordFileError(ValueError):
-    """A file with a foreign header, or of a schema that this program does not read."""
+    """A file with an invalid header or an unsupported schema version."""
 
 
 class Record(NamedTuple):
-    """A record as read from a file."""
+    """A record that was read from a file."""
 
     serial: int
     kind: str
@@ -42,20 +43,20 @@
 
     @property
     def is_marker(self) -> bool:
-        """Whether it encloses changes and is none itself."""
+        """Whether the record delimits commits and is not a change."""
         return self.kind in (BEGIN, END)
 
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """Where reading ended before the file did, and why."""
+    """Where and why reading stopped before the end of the file."""
 
-    offset: int  # bytes from the file's start
+    offset: int  # in bytes, from the start of the file
     reason: str
 
 
 class RecordFile(NamedTuple):
-    """A file's records up to the first that is damaged; `damage` is None where none is."""
+    """The records of a file up to the first damaged one; `damage` is None if there is none."""
 
     schema: int
     records: list[Record]
@@ -63,31 +64,35 @@
 
 
 class _FrameError(ValueError):
-    """A frame that cannot be read."""
+    """A frame that is truncated, altered or malformed."""
 
 
-def encode_header(schema: int = SCHEMA) -> bytes:
-    """The first bytes of a file."""
+def encode_header(schema: int = SCHEMA_VERSION) -> bytes:
+    """Returns the header of a file."""
     return MAGIC + schema.to_bytes(HEADER_BYTES - len(MAGIC), "big")
 
 
 def read_header(data: bytes) -> int:
-    """The schema of a file; raises `RecordFileError`."""
+    """Returns the schema version of a file; raises `RecordFileError`."""
     if len(data) < HEADER_BYTES or data[: len(MAGIC)] != MAGIC:
         raise RecordFileError("the file does not begin as ours do" if data else "the file is empty")
     schema = int.from_bytes(data[len(MAGIC) : HEADER_BYTES], "big")
-    if not 1 <= schema <= SCHEMA:
-        raise RecordFileError(f"the file is of schema {schema}, this program reads 1 to {SCHEMA}")
+    if not 1 <= schema <= SCHEMA_VERSION:
+        raise RecordFileError(
+            f"the file is of schema {schema}, this program reads 1 to {SCHEMA_VERSION}"
+        )
     return schema
 
 
 def checksum(length: bytes, payload: bytes, schema: int) -> bytes:
-    """The checksum of a frame."""
+    """Computes the checksum of a frame."""
     return xxhash.xxh64_digest(length + payload, seed=schema)
 
 
-def encode_frame(serial: int, kind: str, fields: Mapping[str, Any], schema: int = SCHEMA) -> bytes:
-    """The bytes of a record; raises `RecordSizeError` for one over `MAX_PAYLOAD_BYTES`."""
+def encode_frame(
+    serial: int, kind: str, fields: Mapping[str, Any], schema: int = SCHEMA_VERSION
+) -> bytes:
+    """Returns the frame of a record; raises `RecordSizeError` if it is too large."""
     payload = orjson.dumps([serial, kind, fields], option=orjson.OPT_NON_STR_KEYS)
     if len(payload) > MAX_PAYLOAD_BYTES:
         raise RecordSizeError(f"a record of {len(payload)} bytes")
@@ -96,9 +101,9 @@
 
 
 def read_records(data: bytes) -> RecordFile:
-    """The records of a file's bytes; raises `RecordFileError` for the header only.
+    """Decodes the records of a file; raises `RecordFileError` only for an invalid header.
 
-    A frame that cannot be read ends the reading and is returned as `damage`.
+    Stops at the first damaged frame and reports it as `damage`.
     """
     schema = read_header(data)
     records: list[Record] = []
@@ -106,7 +111,7 @@
     while offset < len(data):
         try:
             payload = _read_payload(data, offset, schema)
-            record = _parse(payload)
+            record = _decode_payload(payload)
             if records and record.serial != records[-1].serial + 1:
                 raise _FrameError(f"record {record.serial} follows {records[-1].serial}")
         except _FrameError as error:
@@ -132,7 +137,7 @@
     return payload
 
 
-def _parse(payload: bytes) -> Record:
+def _decode_payload(payload: bytes) -> Record:
     try:
         serial, kind, fields = orjson.loads(payload)
     except (ValueError, TypeError):
--- a/havendyke/recovery/timestamps.py
+++ b/havendyke/recovery/timestamps.py
@@ -1,4 +1,4 @@
-"""Times that outlive a restart, and the age of one on clocks that may have been set meanwhile."""
+"""Timestamps that remain usable after a restart, and their age despite adjusted clocks."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,28 +9,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Timestamp:
-    """The machine's clocks, read together.
+    """A simultaneous reading of the machine's clocks.
 
-    Within one boot the uptime is right whatever happens to the wall clock; across boots only the
-    wall clock tells.
+    Within one boot, the uptime is reliable even if the wall clock is adjusted. Across boots, only
+    the wall clock is comparable.
     """
 
     wall_ms: float  # Unix time
-    boot_id: str  # empty: not known
+    boot_id: str  # empty: unknown
     uptime_ms: float  # since the boot
 
 
 class AgeSource(Enum):
-    """The clock that tells an age."""
+    """The clock from which an age was computed."""
 
-    BOOT = "boot"  # certain
-    WALL = "wall"  # off by whatever the clock was set
-    NONE = "none"  # no clock tells it
+    BOOT = "boot"  # the uptime; exact
+    WALL = "wall"  # wrong by any adjustment of the clock
+    NONE = "none"  # the age is unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Age:
-    """How long ago something was, and how that is known."""
+    """The time that has passed since a timestamp, and the clock that measured it."""
 
     ms: float
     source: AgeSource
@@ -40,19 +40,19 @@
 
 
 def age_of(timestamp: Timestamp | None, now: Timestamp) -> Age:
-    """The age of a timestamp; unknown without one, and where the clocks contradict each other.
+    """Returns the age of a timestamp; unknown if it is None or the clocks contradict each other.
 
-    A timestamp of an earlier boot is at least as old as this boot.
+    A timestamp of an earlier boot is at least as old as the current boot.
     """
     if timestamp is None:
         return UNKNOWN_AGE
     if timestamp.boot_id == now.boot_id and timestamp.boot_id:
         elapsed_ms = now.uptime_ms - timestamp.uptime_ms
-        # Uptime never runs back: if it does, the readings are of two machines.
+        # Uptime never decreases, so the readings are of two machines.
         return Age(elapsed_ms, AgeSource.BOOT) if elapsed_ms >= 0 else UNKNOWN_AGE
     elapsed_ms = now.wall_ms - timestamp.wall_ms
     if elapsed_ms < -MAX_CLOCK_DRIFT_MS:
-        # One of the two clocks was far off, so that their difference tells nothing.
+        # One of the two readings was far off, so their difference is meaningless.
         return UNKNOWN_AGE
-    # The timestamp is of an earlier boot, and this one has lasted for the uptime.
+    # The timestamp is of an earlier boot, so it is at least as old as the uptime.
     return Age(max(elapsed_ms, now.uptime_ms, 0.0), AgeSource.WALL)
--- a/havendyke/recovery/tracker.py
+++ b/havendyke/recovery/tracker.py
@@ -1,8 +1,8 @@
-"""Tracks what must be persisted of the lists, events and orders of an assigner.
+"""Tracks which state must be persisted, from an assigner's endpoint lists, events and orders.
 
-Without I/O. Each endpoint list comes before the controller sees it, since a tombstone may outlive
-it; the events and orders of a reconciliation come after it. Only what they touched is compared with
-what is persisted, so that the cost does not grow with the fleet.
+Without I/O. An endpoint list is applied before the controller sees it, since a tombstone may take
+precedence over it; events and orders are recorded after their reconciliation. Only dirty parts of
+the state are compared with the persisted state, so that the cost does not grow with the fleet.
 """
 
 import math
@@ -16,15 +16,15 @@
 from .codec import apply_record, encode
 from .reconciliation import ServerReconciler
 from .state import (
-    LEARNED_SERVER_PREFIX,
+    SERVER_ESTIMATE_PREFIX,
+    Estimate,
     EvidenceSource,
-    LearnedFigure,
     PersistedState,
     PushProgress,
     ServerRecord,
     SliceTable,
-    learned_server,
-    learned_slice,
+    server_estimate_name,
+    slice_estimate_name,
 )
 from .timestamps import Timestamp
 from .trust import ServerAssessment
@@ -33,11 +33,11 @@
     from ..policy import Controller
     from ..state import Slice
 
-# Least time between two persisted sets of learned figures.
-LEARNING_INTERVAL_MS = 10_000.0
-# Least time between two persisted confirmations of an unchanged server.
+# Minimum time between two updates of the persisted estimates.
+ESTIMATE_INTERVAL_MS = 10_000.0
+# Minimum time between two persisted confirmations of an unchanged server.
 CONFIRMATION_INTERVAL_MS = 60_000.0
-LEARNED_DIGITS = 3  # decimal places
+ESTIMATE_DIGITS = 3  # decimal places
 
 
 class _Part(Enum):
@@ -45,12 +45,12 @@
 
     EJECTED = auto()
     PUSH = auto()
-    LEARNED = auto()
+    ESTIMATES = auto()
 
 
 @dataclass(slots=True)
 class ListedServer:
-    """An entry of an endpoint list: its record, and the event's own entry."""
+    """An entry of an endpoint list, as a record and as the entry of the event."""
 
     uid: str
     record: ServerRecord
@@ -58,36 +58,36 @@
 
 
 class StateTracker:
-    """Owns the state as it is to be persisted (`desired`) and as `take_changes` last left it.
+    """Owns the desired state, and the persisted state as of the last `take_changes`.
 
-    For the assigner's thread only.
+    Not thread-safe; used only from the assigner's thread.
     """
 
     def __init__(
         self, state: PersistedState, now: Callable[[], Timestamp], warm_up_ms: float
     ) -> None:
-        """Recovers from a state as it was loaded; `now` reads the clock."""
+        """Recovers from a loaded state; `now` reads the clock."""
         self.desired = state
         self.counts = {"trust_raised": 0, "tombstones_upheld": 0, "changes": 0}
         self._persisted = state.copy()
         self._now = now
         self.reconciler = ServerReconciler(state, now(), warm_up_ms)
-        self._learned_uptime_ms = -math.inf
-        self._touched_servers = set(state.servers)
-        self._touched_slices: set[Slice] = set()
-        self._touched_parts = set(_Part)
+        self._estimates_uptime_ms = -math.inf
+        self._dirty_servers = set(state.servers)
+        self._dirty_slices: set[Slice] = set()
+        self._dirty_parts = set(_Part)
 
     @property
     def assessments(self) -> list[ServerAssessment]:
-        """What is believed of the servers at the recovery: the list to start with."""
+        """The assessments of all servers at the recovery, which form the initial endpoint list."""
         return self.reconciler.assessments
 
-    # Called for each list and reconciliation
+    # Called for each endpoint list and reconciliation
 
     def apply_list(
         self, update: core.EndpointListUpdate, listed: Sequence[ListedServer]
     ) -> core.EndpointListUpdate:
-        """The update as the controller is to see it, with the tombstones that outlive it."""
+        """Applies an endpoint list; returns it with the tombstones that take precedence."""
         now = self._now()
         if update.scope == core.ListScope.COMPLETE:
             self._remove_unlisted({server.uid for server in listed}, now)
@@ -99,7 +99,7 @@
     def record(
         self, events: Iterable[core.Event], orders: Iterable[core.Order]
     ) -> list[ServerAssessment]:
-        """Notes a reconciliation; returns the assessments that its evidence has raised."""
+        """Records a reconciliation; returns the assessments whose trust its evidence raised."""
         raised = []
         for event in events:
             assessment = self._record_event(event)
@@ -110,77 +110,81 @@
         return raised
 
     def record_estimates(self, controller: "Controller") -> None:
-        """Takes over the controller's estimates, once in `LEARNING_INTERVAL_MS`."""
+        """Copies the controller's estimates, at most once per `ESTIMATE_INTERVAL_MS`."""
         now = self._now()
-        if now.uptime_ms - self._learned_uptime_ms < LEARNING_INTERVAL_MS:
+        if now.uptime_ms - self._estimates_uptime_ms < ESTIMATE_INTERVAL_MS:
             return
-        self._learned_uptime_ms = now.uptime_ms
+        self._estimates_uptime_ms = now.uptime_ms
         self.desired.last_alive = now
-        learned = self.desired.learned
+        estimates = self.desired.estimates
         for server in controller.servers:
             if server.state == core.ServerState.READY and server.capacity > 0:
-                capacity = round(server.capacity, LEARNED_DIGITS)
-                learned[learned_server(server.id)] = LearnedFigure(capacity, now)
+                capacity = round(server.capacity, ESTIMATE_DIGITS)
+                estimates[server_estimate_name(server.id)] = Estimate(capacity, now)
         for slice_ in controller.slices:
             if slice_.assigned and slice_.demand is not None:
-                demand = round(max(slice_.demand, 0.0), LEARNED_DIGITS)
-                learned[learned_slice(slice_.id)] = LearnedFigure(demand, now)
-        self._forget_departed_servers()
-        self._touched_parts.add(_Part.LEARNED)
+                demand = round(max(slice_.demand, 0.0), ESTIMATE_DIGITS)
+                estimates[slice_estimate_name(slice_.id)] = Estimate(demand, now)
+        self._remove_stale_estimates()
+        self._dirty_parts.add(_Part.ESTIMATES)
 
-    # Called to commit
+    # Called for each commit
 
     def take_changes(self) -> list[Change]:
-        """What has changed since the last call; from here on it counts as persisted.
+        """Returns the changes since the last call, which count as persisted from then on.
 
-        Raises `RecordError` where a record could not be read back; the next call tries again.
+        Raises `RecordError` if a record could not be read back; the next call retries.
         """
-        for slice_ in self._touched_slices:
+        for slice_ in self._dirty_slices:
             weights = {server.id: weight for server, weight in slice_.published.items()}
             self.desired.slices[slice_.id] = SliceTable(weights, slice_.assigned)
-        if not self._anything_touched():
+        if not self._is_dirty():
             return []
-        numbers = {slice_.id for slice_ in self._touched_slices}
+        slice_ids = {slice_.id for slice_ in self._dirty_slices}
         changes = difference(
-            self.touched_part(self._persisted, self._touched_servers, numbers),
-            self.touched_part(self.desired, self._touched_servers, numbers),
+            self.dirty_subset(self._persisted, self._dirty_servers, slice_ids),
+            self.dirty_subset(self.desired, self._dirty_servers, slice_ids),
         )
         for change in changes:
-            # By way of the stored form, so that nothing is written that cannot be read.
+            # Applied in its stored form, so that no record is written that cannot be read back.
             apply_record(self._persisted, *encode(change))
-        self._touched_servers = set()
-        self._touched_slices = set()
-        self._touched_parts = set()
+        self._dirty_servers = set()
+        self._dirty_slices = set()
+        self._dirty_parts = set()
         self.counts["changes"] += len(changes)
         return changes
 
     def snapshot(self) -> PersistedState:
-        """A copy of the state with all changes that `take_changes` returned."""
+        """Returns a copy of the state with all changes that `take_changes` has returned."""
         return self._persisted.copy()
 
-    def touched_part(
-        self, state: PersistedState, uids: Iterable[str], numbers: Iterable[int]
+    def dirty_subset(
+        self, state: PersistedState, uids: Iterable[str], slice_ids: Iterable[int]
     ) -> PersistedState:
-        """The part of a state that is to be compared."""
-        uids, numbers = sorted(uids), sorted(numbers)
-        parts = self._touched_parts
+        """Returns the part of a state that has to be compared."""
+        uids, slice_ids = sorted(uids), sorted(slice_ids)
+        parts = self._dirty_parts
         return PersistedState(
             servers={uid: state.servers[uid] for uid in uids if uid in state.servers},
             tombstones={uid: state.tombstones[uid] for uid in uids if uid in state.tombstones},
             ejected=state.ejected if _Part.EJECTED in parts else {},
-            slices={number: state.slices[number] for number in numbers if number in state.slices},
+            slices={
+                slice_id: state.slices[slice_id]
+                for slice_id in slice_ids
+                if slice_id in state.slices
+            },
             push=state.push if _Part.PUSH in parts else None,
-            learned=state.learned if _Part.LEARNED in parts else {},
+            estimates=state.estimates if _Part.ESTIMATES in parts else {},
             list_version=state.list_version,
             last_alive=state.last_alive,
         )
 
-    # Lists
+    # Endpoint lists
 
     def _remove_unlisted(self, listed_uids: set[str], now: Timestamp) -> None:
         for uid in [uid for uid in self.desired.servers if uid not in listed_uids]:
             self.reconciler.apply_unlisted(uid, now)
-            self._touched_servers.add(uid)
+            self._dirty_servers.add(uid)
 
     def _apply_listed(self, listed: ListedServer, now: Timestamp) -> core.EndpointEntry:
         uid = listed.uid
@@ -193,10 +197,10 @@
         if (
             previous is not None
             and uid in self.desired.servers
-            and _lately_confirmed(previous, record, now)
+            and _recently_confirmed(previous, record, now)
         ):
             self.desired.servers[uid] = previous
-        self._touched_servers.add(uid)
+        self._dirty_servers.add(uid)
         return entry
 
     # Reconciliations
@@ -210,11 +214,11 @@
                 if event.outcome == core.HealthCheckOutcome.PASSED:
                     return self._apply_evidence(event.server.id, EvidenceSource.HEALTH_CHECK)
             case core.SnapshotEntry():
-                self._touched_slices.add(event.slice)
+                self._dirty_slices.add(event.slice)
                 if event.weight > 0:
                     return self._apply_evidence(event.server.id, EvidenceSource.SNAPSHOT)
             case core.SliceAssignment():
-                self._touched_slices.add(event.slice)
+                self._dirty_slices.add(event.slice)
             case core.PushAcknowledged():
                 self._count_acknowledgement(event.nonce)
         return None
@@ -225,58 +229,60 @@
         assessment = self.reconciler.apply_evidence(uid, source, self._now())
         if assessment is not None:
             self.counts["trust_raised"] += 1
-            self._touched_servers.add(uid)
+            self._dirty_servers.add(uid)
         return assessment
 
     def _count_acknowledgement(self, nonce: int) -> None:
         push = self.desired.push
         if push is not None and push.nonce == nonce:
             self.desired.push = PushProgress(nonce, push.acknowledgements + 1)
-            self._touched_parts.add(_Part.PUSH)
+            self._dirty_parts.add(_Part.PUSH)
 
     def _record_order(self, order: core.Order) -> None:
         match order:
             case core.SetEndpointWeight() | core.ClearTable():
-                self._touched_slices.add(order.slice)
+                self._dirty_slices.add(order.slice)
             case core.SetEjection():
                 if order.ejected:
                     self.desired.ejected[order.server.id] = None
                 else:
                     self.desired.ejected.pop(order.server.id, None)
-                self._touched_parts.add(_Part.EJECTED)
+                self._dirty_parts.add(_Part.EJECTED)
             case core.RequestAcknowledgement():
                 self.desired.push = PushProgress(order.nonce, 0)
-                self._touched_parts.add(_Part.PUSH)
+                self._dirty_parts.add(_Part.PUSH)
 
     # Helpers
 
-    def _forget_departed_servers(self) -> None:
-        learned = self.desired.learned
-        departed = [
+    def _remove_stale_estimates(self) -> None:
+        estimates = self.desired.estimates
+        stale = [
             name
-            for name in learned
-            if name.startswith(LEARNED_SERVER_PREFIX)
-            and name.removeprefix(LEARNED_SERVER_PREFIX) not in self.desired.servers
+            for name in estimates
+            if name.startswith(SERVER_ESTIMATE_PREFIX)
+            and name.removeprefix(SERVER_ESTIMATE_PREFIX) not in self.desired.servers
         ]
-        for name in departed:
-            del learned[name]
+        for name in stale:
+            del estimates[name]
 
-    def _anything_touched(self) -> bool:
+    def _is_dirty(self) -> bool:
         return bool(
-            self._touched_servers
-            or self._touched_slices
-            or self._touched_parts
+            self._dirty_servers
+            or self._dirty_slices
+            or self._dirty_parts
             or self.desired.list_version != self._persisted.list_version
         )
 
 
-def _lately_confirmed(previous: ServerRecord, record: ServerRecord, now: Timestamp) -> bool:
-    """Whether a record adds nothing to the one before, which was confirmed a short time ago."""
-    confirmed = previous.confirmed
-    unchanged = replace(record, confirmed=confirmed, list_version=previous.list_version) == previous
+def _recently_confirmed(previous: ServerRecord, record: ServerRecord, now: Timestamp) -> bool:
+    """Whether a record only repeats the previous one, which was confirmed recently."""
+    confirmed_at = previous.confirmed_at
+    unchanged = (
+        replace(record, confirmed_at=confirmed_at, list_version=previous.list_version) == previous
+    )
     return (
         unchanged
-        and confirmed is not None
-        and now.boot_id == confirmed.boot_id
-        and now.uptime_ms - confirmed.uptime_ms < CONFIRMATION_INTERVAL_MS
+        and confirmed_at is not None
+        and now.boot_id == confirmed_at.boot_id
+        and now.uptime_ms - confirmed_at.uptime_ms < CONFIRMATION_INTERVAL_MS
     )
--- a/havendyke/recovery/trust.py
+++ b/havendyke/recovery/trust.py
@@ -1,20 +1,20 @@
-"""How far a persisted endpoint list is trusted after a restart. Pure functions.
+"""Computes how far a persisted endpoint list is trusted after a restart. Pure functions.
 
-Trust is the part of its warm-up that a server is believed to have behind it: 1 is warm, 0 has just
-started. The controller gets it as an assumed start, `warm_up * trust` before the restart, and
-decides by itself what a server that is warming up may be sent.
+Trust is the share of its warm-up that a server is assumed to have completed: 1 is warm, 0 has just
+started. It is passed to the controller as an assumed start, `warm_up * trust` before the restart;
+the controller decides how much load a server that is warming up receives.
 
 | age of the last confirmation | trust |
 | --- | --- |
-| to 30 s | 1 |
-| to 10 min | 0.75 |
-| to 2 h | 0.5 |
-| to a day | 0.25 |
-| beyond, or not known | 0 |
-
-An age that only the wall clock tells is trusted a step less. A server that an earlier recovery gave
-an assumed start keeps it over further restarts, so that a program that restarts every second
-neither keeps servers cold nor warms them up by restarting.
+| up to 30 s | 1 |
+| up to 10 min | 0.75 |
+| up to 2 h | 0.5 |
+| up to a day | 0.25 |
+| more, or unknown | 0 |
+
+An age that is known only from the wall clock lowers the trust by one step. An assumed start stays
+the same over further restarts, so that a process in a crash loop neither keeps servers cold nor
+counts them as warm too early.
 """
 
 from dataclasses import dataclass
@@ -35,8 +35,9 @@
     (2 * HOUR_MS, 0.5),
     (DAY_MS, 0.25),
 )
-# A health check may be answered by another machine at the same address, while requests that proxies
-# had answered are the server's own; an entry of the store says that somebody ordered it once.
+# Another machine at the same address may pass a health check, while successful requests in a load
+# report show that the server itself serves. A snapshot entry only shows that a controller once
+# ordered it.
 MAX_TRUST_BY_SOURCE = {
     EvidenceSource.DISK: 0.0,
     EvidenceSource.HEALTH_CHECK: 0.25,
@@ -44,23 +45,23 @@
     EvidenceSource.LOAD_REPORT: 0.75,
     EvidenceSource.ENDPOINT_LIST: 1.0,
 }
-# A longer absence voids the starts that an earlier recovery assumed.
+# After a longer downtime, the starts that an earlier recovery assumed no longer apply.
 MAX_RESTART_GAP_MS = TRUST_BY_AGE[0][0]
 
 
 @dataclass(frozen=True, slots=True)
 class ServerAssessment:
-    """What is believed of a server after a restart."""
+    """The assumed state of a server after a restart."""
 
     uid: str
     state: ServerState
-    started_ms: float  # Unix time, assumed where trust is below 1; 0: long ago
+    started_ms: float  # Unix time, assumed if trust is below 1; 0: long ago
     trust: float  # from 0 to 1
     reason: str  # for operators
 
 
 def trust_of_age(age: Age) -> float:
-    """The trust in a confirmation of this age."""
+    """Returns the trust in a confirmation of this age."""
     if age.source is AgeSource.NONE:
         return 0.0
     steps = [trust for longest_ms, trust in TRUST_BY_AGE if age.ms <= longest_ms] + [0.0]
@@ -70,12 +71,12 @@
 
 
 def assumed_start(trust: float, now: Timestamp, warm_up_ms: float) -> float:
-    """The Unix time of the start that stands for a trust; 0 for a server that is warm."""
+    """Returns the Unix time of the start that corresponds to a trust; 0 for a warm server."""
     return 0.0 if trust >= 1.0 else now.wall_ms - warm_up_ms * trust
 
 
-def is_buried(record: ServerRecord, tombstone: Tombstone | None) -> bool:
-    """Whether a tombstone holds for the record's start."""
+def tombstone_applies(record: ServerRecord, tombstone: Tombstone | None) -> bool:
+    """Whether the tombstone applies to the record's start."""
     return tombstone is not None and tombstone.started_ms >= record.started_ms
 
 
@@ -85,24 +86,24 @@
     tombstone: Tombstone | None,
     now: Timestamp,
     warm_up_ms: float,
-    program_ran_on: bool = True,
+    recently_alive: bool = True,
 ) -> ServerAssessment:
-    """What is believed of a persisted server.
+    """Returns the assessment of a persisted server.
 
-    `program_ran_on`: the program was down for `MAX_RESTART_GAP_MS` at most, so that the starts
-    which it assumed still hold.
+    `recently_alive`: the process was down for at most `MAX_RESTART_GAP_MS`, so the starts that an
+    earlier recovery assumed still apply.
     """
-    if tombstone is not None and is_buried(record, tombstone):
+    if tombstone is not None and tombstone_applies(record, tombstone):
         reason = f"{tombstone.state} since it was last told"
         return ServerAssessment(uid, tombstone.state, record.started_ms, 0.0, reason)
     if record.state is not ServerState.READY:
         reason = f"{record.state} when last listed"
         return ServerAssessment(uid, record.state, record.started_ms, 0.0, reason)
-    confirmation_age = age_of(record.confirmed, now)
+    confirmation_age = age_of(record.confirmed_at, now)
     trust = min(trust_of_age(confirmation_age), MAX_TRUST_BY_SOURCE[record.source])
     trust = _limit_by_start(trust, record, now, warm_up_ms)
-    if record.assumed_start_ms and program_ran_on:
-        warming = _assess_warming(uid, record, now, warm_up_ms, trust)
+    if record.assumed_start_ms and recently_alive:
+        warming = _assess_assumed_start(uid, record, now, warm_up_ms, trust)
         if warming is not None:
             return warming
     started_ms = assumed_start(trust, now, warm_up_ms) if trust < 1 else record.started_ms
@@ -111,14 +112,14 @@
 
 
 def assess_all(state: PersistedState, now: Timestamp, warm_up_ms: float) -> list[ServerAssessment]:
-    """What is believed of all persisted servers, by uid.
+    """Returns the assessments of all persisted servers, then of tombstones without a server.
 
-    Tombstones without a server are part of it, since an entry of the store may name them.
+    The latter are included because snapshot entries may still name them.
     """
-    absence = age_of(state.last_alive, now)
-    ran_on = absence.source is not AgeSource.NONE and absence.ms <= MAX_RESTART_GAP_MS
+    downtime = age_of(state.last_alive, now)
+    recently_alive = downtime.source is not AgeSource.NONE and downtime.ms <= MAX_RESTART_GAP_MS
     listed = [
-        assess(uid, state.servers[uid], state.tombstones.get(uid), now, warm_up_ms, ran_on)
+        assess(uid, state.servers[uid], state.tombstones.get(uid), now, warm_up_ms, recently_alive)
         for uid in sorted(state.servers)
     ]
     gone = [
@@ -132,7 +133,7 @@
 
 
 def describe_age(age: Age) -> str:
-    """An age in words, in the largest unit that it fills."""
+    """Formats an age in the largest unit of which it is at least one."""
     if age.source is AgeSource.NONE:
         return "at an unknown time"
     for unit, unit_ms in (("d", DAY_MS), ("h", HOUR_MS), ("min", MINUTE_MS)):
@@ -142,25 +143,25 @@
 
 
 def _limit_by_start(trust: float, record: ServerRecord, now: Timestamp, warm_up_ms: float) -> float:
-    """A server that is known to have started lately is no warmer than that."""
+    """Limits trust to the share of the warm-up since the server's known start."""
     if not record.started_ms or now.wall_ms - record.started_ms >= warm_up_ms:
         return trust
-    warmth = max(0.0, (now.wall_ms - record.started_ms) / warm_up_ms) if warm_up_ms else 1.0
-    return min(trust, warmth)
+    warmed_up = max(0.0, (now.wall_ms - record.started_ms) / warm_up_ms) if warm_up_ms else 1.0
+    return min(trust, warmed_up)
 
 
-def _assess_warming(
+def _assess_assumed_start(
     uid: str, record: ServerRecord, now: Timestamp, warm_up_ms: float, trust: float
 ) -> ServerAssessment | None:
-    """The assessment by the start that an earlier recovery assumed; None where trust is higher.
+    """Assesses a server by the start that an earlier recovery assumed; None if trust is higher.
 
-    The server has warmed up since, and a restart of this program does not cool it.
+    The server has continued to warm up since then, as the controller's restart does not affect it.
     """
-    since_ms = now.wall_ms - record.assumed_start_ms
-    warmth = max(0.0, since_ms) / warm_up_ms if warm_up_ms else 1.0
-    if warmth < trust or since_ms < 0:
+    elapsed_ms = now.wall_ms - record.assumed_start_ms
+    warmed_up = max(0.0, elapsed_ms) / warm_up_ms if warm_up_ms else 1.0
+    if warmed_up < trust or elapsed_ms < 0:
         return None
-    started_ms = 0.0 if warmth >= 1 else record.assumed_start_ms
+    started_ms = 0.0 if warmed_up >= 1 else record.assumed_start_ms
     return ServerAssessment(
-        uid, ServerState.READY, started_ms, min(1.0, warmth), "warming since a recovery"
+        uid, ServerState.READY, started_ms, min(1.0, warmed_up), "warming since a recovery"
     )
--- a/havendyke/recovery/writer.py
+++ b/havendyke/recovery/writer.py
@@ -1,4 +1,4 @@
-"""The thread that commits changes, so that no decision waits for the disk."""
+"""Commits changes in a thread of its own, so that the event loop never waits for the disk."""
 
 import threading
 from collections.abc import Callable, Sequence
@@ -12,17 +12,17 @@
 
 
 class EventLog(Protocol):
-    """Writes a line of the log; may be called from any thread."""
+    """Writes a log line; may be called from any thread."""
 
     def __call__(self, event: str, **fields: object) -> None:
         """Logs an event with its fields."""
 
 
 class CommitTarget(Protocol):
-    """Where changes are committed to; `StateDirectory`, except in tests."""
+    """The storage for commits; `StateDirectory`, except in tests."""
 
     def commit(self, changes: Sequence[Change], state: PersistedState) -> None:
-        """Makes changes durable, all or none; raises OSError and `RecordSizeError`."""
+        """Makes changes durable atomically; raises OSError and `RecordSizeError`."""
 
     def rotate(self, state: PersistedState) -> None:
         """Makes a complete state durable; raises OSError and `RecordSizeError`."""
@@ -30,29 +30,30 @@
 
 @dataclass(frozen=True)
 class WriterOptions:
-    """How commits are gathered and retried."""
+    """Options of batching and retrying commits."""
 
-    gather_ms: float = 50.0  # how long a commit waits for further changes
-    # Beyond it the next commit is a snapshot, so that a slow disk costs no memory.
+    commit_delay_ms: float = 50.0  # wait for further changes before a commit
+    # Beyond it, the next commit is a snapshot, so that a slow disk does not use up memory.
     max_pending_changes: int = 20_000
-    retry_ms: float = 500.0  # after a failed commit, doubled after each further one
-    max_retry_ms: float = 30_000.0
+    # Backoff after a failed commit, doubled after each further failure.
+    retry_delay_ms: float = 500.0
+    max_retry_delay_ms: float = 30_000.0
 
 
 @dataclass(frozen=True)
 class _Batch:
-    """What one commit takes: changes, or a complete state in their place."""
+    """The content of a commit: changes, or a snapshot that replaces them."""
 
     changes: list[Change]
     snapshot: PersistedState | None
-    submitted: int  # changes that were submitted when it was taken
+    submitted: int  # number of changes submitted up to this batch
 
 
 class StateWriter:
-    """Commits what is submitted, in a thread of its own.
+    """Commits submitted changes in a thread of its own.
 
-    The condition guards what both sides use: `_pending`, `_pending_snapshot`, `_stopping` and the
-    two counts of changes. `_state` belongs to the thread.
+    The condition guards `_pending`, `_pending_snapshot`, `_stopping`, `_submitted` and
+    `_committed`. `_state` is used only by the thread.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         options: WriterOptions,
         log: EventLog,
     ) -> None:
-        """`state` is what the directory has; `log` is called from the thread."""
+        """`state` is the state in the directory; `log` is called from the thread."""
         self.counts = {
             "commits": 0,
             "changes": 0,
@@ -73,7 +74,7 @@
         self.log = log
         self._directory = directory
         self._options = options
-        self._state = state.copy()  # with the changes of the batch that is being committed
+        self._state = state.copy()  # includes the batch that is being committed
         self._condition = threading.Condition()
         self._pending: list[Change] = []
         self._pending_snapshot: PersistedState | None = None
@@ -89,9 +90,9 @@
     def submit(
         self, changes: Sequence[Change], take_snapshot: Callable[[], PersistedState]
     ) -> None:
-        """Hands over changes for the next commit; never waits for the disk.
+        """Submits changes for the next commit; never waits for the disk.
 
-        Beyond `max_pending_changes`, the state that `take_snapshot` returns is committed instead.
+        Beyond `max_pending_changes`, commits the state that `take_snapshot` returns instead.
         """
         if not changes:
             return
@@ -107,15 +108,15 @@
             self._condition.notify_all()
 
     def wait_until_committed(self, timeout_s: float) -> bool:
-        """Waits for all changes submitted so far; returns whether they were committed in time."""
+        """Waits for all changes submitted so far; returns False on timeout."""
         with self._condition:
             submitted = self._submitted
             return self._condition.wait_for(lambda: self._committed >= submitted, timeout_s)
 
     def stop(self, timeout_s: float) -> None:
-        """Ends the thread after one last attempt to commit pending changes.
+        """Stops the thread after a last attempt to commit pending changes.
 
-        Returns after `timeout_s` at the latest, also where the disk still blocks the thread.
+        Returns after `timeout_s` at the latest, even if the disk still blocks the thread.
         """
         with self._condition:
             self._stopping = True
@@ -123,36 +124,38 @@
         if self._thread.is_alive():
             self._thread.join(timeout_s)
 
-    # In the thread
+    # Called in the thread
 
     def _run(self) -> None:
-        retry_ms = self._options.retry_ms
+        retry_delay_ms = self._options.retry_delay_ms
         while (batch := self._next_batch()) is not None:
             try:
                 self._write(batch)
-                if retry_ms > self._options.retry_ms:
+                if retry_delay_ms > self._options.retry_delay_ms:
                     self.log("state_persisted_again")
-                retry_ms = self._options.retry_ms
+                retry_delay_ms = self._options.retry_delay_ms
                 self._count_commit(batch)
             except (OSError, RecordSizeError) as error:
                 self.counts["failures"] += 1
                 self.log(
                     "state_not_persisted",
                     cause=describe_error(error),
-                    retry_in_ms=retry_ms,
+                    retry_in_ms=retry_delay_ms,
                 )
-                if not self._wait_for_retry(retry_ms):
+                if not self._wait_for_retry(retry_delay_ms):
                     return
-                retry_ms = min(2 * retry_ms, self._options.max_retry_ms)
+                retry_delay_ms = min(2 * retry_delay_ms, self._options.max_retry_delay_ms)
 
     def _next_batch(self) -> _Batch | None:
-        """Waits for changes and gathers further ones; None once stopped with nothing pending."""
+        """Waits for the next batch; returns None once stopped with nothing pending."""
         with self._condition:
             self._condition.wait_for(lambda: self._has_pending() or self._stopping)
             if not self._has_pending():
                 return None
             if not self._stopping:
-                self._condition.wait_for(lambda: self._stopping, self._options.gather_ms / 1000)
+                self._condition.wait_for(
+                    lambda: self._stopping, self._options.commit_delay_ms / 1000
+                )
             batch = _Batch(self._pending, self._pending_snapshot, self._submitted)
             self._pending = []
             self._pending_snapshot = None
@@ -178,18 +181,18 @@
             self._committed = batch.submitted
             self._condition.notify_all()
 
-    def _wait_for_retry(self, retry_ms: float) -> bool:
-        """Makes a snapshot of what failed the next commit; returns whether there is to be one."""
+    def _wait_for_retry(self, retry_delay_ms: float) -> bool:
+        """Replaces the failed batch by a snapshot and waits; returns False if stopping."""
         with self._condition:
             if self._stopping:
                 return False
             if self._pending_snapshot is None:
-                # The log may hold a part of the failed batch: a snapshot replaces it, with what
-                # was submitted since.
+                # The log may contain a part of the failed batch. A snapshot replaces it, together
+                # with the changes submitted since.
                 snapshot = self._state.copy()
                 for change in self._pending:
                     change.apply(snapshot)
                 self._pending_snapshot = snapshot
                 self._pending = []
-            self._condition.wait_for(lambda: self._stopping, retry_ms / 1000)
+            self._condition.wait_for(lambda: self._stopping, retry_delay_ms / 1000)
             return True
--- a/tests/recovery/test_codec.py
+++ b/tests/recovery/test_codec.py
@@ -1,4 +1,4 @@
-"""Stored records and changes: each kind there and back, and records that cannot be used."""
+"""Round trips of all record kinds, and records that cannot be used."""
 
 import pytest
 from recovery_states import NOW
@@ -7,8 +7,8 @@
 from havendyke.recovery import changes as c
 from havendyke.recovery.codec import RecordError, apply_record, decode, encode
 from havendyke.recovery.state import (
+    Estimate,
     EvidenceSource,
-    LearnedFigure,
     PersistedState,
     PushProgress,
     ServerRecord,
@@ -36,11 +36,11 @@
         (c.SetSlice(65_535, SliceTable({"s1": 1.0}, False)), "slice"),
         (c.RemoveSlice(0), "unslice"),
         (c.SetPush(PushProgress(7, 2)), "marks"),
-        (c.SetLearned("server/s1", LearnedFigure(1.5, NOW)), "learned"),
-        (c.RemoveLearned("server/s1"), "forget"),
+        (c.SetEstimate("server/s1", Estimate(1.5, NOW)), "learned"),
+        (c.RemoveEstimate("server/s1"), "forget"),
     ],
 )
-def test_a_change_is_read_from_its_stored_form(change, kind):
+def test_a_change_is_decoded_from_its_stored_record(change, kind):
     stored = encode(change)
     assert stored[0] == kind
     assert decode(*stored) == change
@@ -62,7 +62,7 @@
         ("drop", {}, "'uid' is None"),
     ],
 )
-def test_a_record_that_cannot_be_used_is_refused_with_its_field(kind, fields, reason):
+def test_an_error_about_an_unusable_record_names_the_field(kind, fields, reason):
     with pytest.raises(RecordError) as error:
         decode(kind, fields)
     assert str(error.value) == reason
@@ -81,7 +81,7 @@
         ("nosuch", UNUSABLE_TOMBSTONE, ["s1", "s2"]),
     ],
 )
-def test_an_unusable_tombstone_removes_the_one_before_it_and_is_refused(kind, fields, remaining):
+def test_an_unusable_tombstone_removes_the_previous_one_and_is_rejected(kind, fields, remaining):
     older = Tombstone(0.0, ServerState.DRAINING, 3, None)
     state = PersistedState(tombstones={"s1": older, "s2": older})
     with pytest.raises(RecordError):
--- a/tests/recovery/test_tracker.py
+++ b/tests/recovery/test_tracker.py
@@ -1,4 +1,4 @@
-"""What is persisted of lists, events and orders, and what is not compared for it."""
+"""Which changes lists, events and orders result in, and which state is compared for them."""
 
 from recovery_states import NOW, WARM_UP_MS
 
@@ -14,11 +14,11 @@
     return StateTracker(PersistedState(), lambda: NOW, WARM_UP_MS), ObjectRegistry(settings, 1)
 
 
-def kinds(changes):
+def record_kinds(changes):
     return [encode(change)[0] for change in changes]
 
 
-def listed(registry, uid, state="ready", version=1):
+def listed_server(registry, uid, state="ready", version=1):
     state = core.ServerState(state)
     entry = core.EndpointEntry(registry.server(uid), state, None, 0, 0, 0, 1.0)
     return ListedServer(uid, ServerRecord(state=state, list_version=version), entry)
@@ -31,52 +31,52 @@
 
 def test_the_persisted_state_follows_lists_events_and_orders():
     tracker, registry = new_tracker()
-    copy = PersistedState()
-    apply_list(tracker, [listed(registry, "s1"), listed(registry, "s2", "draining")])
+    replayed = PersistedState()
+    apply_list(tracker, [listed_server(registry, "s1"), listed_server(registry, "s2", "draining")])
     slice_ = registry.slice(2)
     slice_.assigned, slice_.published = True, {registry.server("s1"): 1.0}
     events = [core.SliceAssignment(slice_, True)]
     orders = [core.SetEjection(registry.server("s2"), True), core.RequestAcknowledgement(7, True)]
     assert tracker.record(events, orders) == []
     for change in tracker.take_changes():
-        decode(*encode(change)).apply(copy)
-    assert copy == tracker.desired
-    assert copy.slices[2].weights == {"s1": 1.0}
-    assert copy.ejected == {"s2": None}
-    assert copy.tombstones["s2"].state == "draining"
-    assert copy.push.nonce == 7
+        decode(*encode(change)).apply(replayed)
+    assert replayed == tracker.desired
+    assert replayed.slices[2].weights == {"s1": 1.0}
+    assert replayed.ejected == {"s2": None}
+    assert replayed.tombstones["s2"].state == "draining"
+    assert replayed.push.nonce == 7
     assert tracker.take_changes() == []
     slice_.published = {}
     tracker.record([], [core.ClearTable(slice_), core.SetEjection(registry.server("s2"), False)])
-    assert kinds(tracker.take_changes()) == ["open", "slice"]
+    assert record_kinds(tracker.take_changes()) == ["open", "slice"]
 
 
-def test_a_complete_list_buries_what_it_lacks_and_an_older_one_does_not_bring_it_back():
+def test_a_server_missing_from_a_complete_list_is_not_restored_by_an_older_list():
     tracker, registry = new_tracker()
-    apply_list(tracker, [listed(registry, uid, version=5) for uid in ("s1", "s2")])
+    apply_list(tracker, [listed_server(registry, uid, version=5) for uid in ("s1", "s2")])
     tracker.take_changes()
-    apply_list(tracker, [listed(registry, "s1", version=6)])
-    assert kinds(tracker.take_changes())[:2] == ["lists", "tomb"]
-    update = apply_list(tracker, [listed(registry, uid, version=4) for uid in ("s1", "s2")])
+    apply_list(tracker, [listed_server(registry, "s1", version=6)])
+    assert record_kinds(tracker.take_changes())[:2] == ["lists", "tomb"]
+    update = apply_list(tracker, [listed_server(registry, uid, version=4) for uid in ("s1", "s2")])
     assert [entry.state for entry in update.entries] == ["ready", "gone"]
     assert tracker.counts["tombstones_upheld"] == 1
 
 
-def test_only_what_a_reconciliation_touched_is_compared():
+def test_only_dirty_parts_of_the_state_are_compared():
     tracker, registry = new_tracker()
-    apply_list(tracker, [listed(registry, f"s{number}") for number in range(2000)])
-    assert len(tracker.take_changes()) == 2002  # and the list's version, and that it runs
-    compared = []
-    touched_part = tracker.touched_part
-
-    def counting_part(state, uids, numbers):
-        compared.append(len(uids))
-        return touched_part(state, uids, numbers)
-
-    tracker.touched_part = counting_part
-    apply_list(tracker, [listed(registry, "s7", "draining", 2)], core.ListScope.CHANGES)
-    assert kinds(tracker.take_changes()) == ["lists", "tomb", "entry"]
-    assert compared == [1, 1]
+    apply_list(tracker, [listed_server(registry, f"s{number}") for number in range(2000)])
+    assert len(tracker.take_changes()) == 2002  # including the list's version and `last_alive`
+    compared_counts = []
+    dirty_subset = tracker.dirty_subset
+
+    def counting_subset(state, uids, numbers):
+        compared_counts.append(len(uids))
+        return dirty_subset(state, uids, numbers)
+
+    tracker.dirty_subset = counting_subset
+    apply_list(tracker, [listed_server(registry, "s7", "draining", 2)], core.ListScope.CHANGES)
+    assert record_kinds(tracker.take_changes()) == ["lists", "tomb", "entry"]
+    assert compared_counts == [1, 1]
 
 
 def test_only_acknowledgements_of_the_last_push_are_counted():
--- a/tests/recovery/test_writer.py
+++ b/tests/recovery/test_writer.py
@@ -1,9 +1,9 @@
-"""The committing thread on a disk that is slow, and on one that fails for a while."""
+"""The writer thread on a slow disk and on one that fails temporarily."""
 
 import time
 from copy import deepcopy
 
-from recovery_states import commits
+from recovery_states import make_commits
 
 from havendyke.lab.disk import SimulatedDisk, Storage
 from havendyke.recovery import records
@@ -13,19 +13,19 @@
 from havendyke.recovery.writer import StateWriter, WriterOptions
 
 
-def test_a_slow_disk_gathers_changes_and_a_failing_one_is_caught_up_with():
-    memory, logged = Storage(), []
-    disk = SimulatedDisk(memory, on_call=lambda call: time.sleep(0.05) if call == "sync" else None)
+def test_a_slow_disk_batches_changes_and_commits_resume_after_a_failure():
+    storage, logged = Storage(), []
+    disk = SimulatedDisk(storage, on_call=lambda call: time.sleep(0.05) if call == "sync" else None)
     directory = StateDirectory(disk)
     writer = StateWriter(
         directory,
         directory.open().state,
-        WriterOptions(gather_ms=1.0, max_pending_changes=60, retry_ms=20.0),
+        WriterOptions(commit_delay_ms=1.0, max_pending_changes=60, retry_delay_ms=20.0),
         lambda event, **fields: logged.append(event),
     )
     writer.start()
     state = PersistedState()
-    for changes, state in commits(40):
+    for changes, state in make_commits(40):
         writer.submit(changes, lambda s=state: deepcopy(s))
     assert writer.wait_until_committed(10) and writer.counts["commits"] < 20
     disk.sync_fails = True
@@ -37,21 +37,21 @@
     assert logged[0] == "state_not_persisted" and logged[-1] == "state_persisted_again"
     writer.stop(5)
     directory.close()
-    assert StateDirectory(SimulatedDisk(memory)).open().state == state
+    assert StateDirectory(SimulatedDisk(storage)).open().state == state
 
 
-def test_a_record_that_is_too_large_to_store_does_not_end_the_writer():
-    # Every later change was lost, and nothing was logged.
-    memory, logged = Storage(), []
-    directory = StateDirectory(SimulatedDisk(memory))
+def test_a_record_that_is_too_large_does_not_stop_the_writer():
+    # The exception ended the thread: every later change was lost, and nothing was logged.
+    storage, logged = Storage(), []
+    directory = StateDirectory(SimulatedDisk(storage))
     writer = StateWriter(
         directory,
         directory.open().state,
-        WriterOptions(gather_ms=1.0, retry_ms=20.0),
+        WriterOptions(commit_delay_ms=1.0, retry_delay_ms=20.0),
         lambda event, **fields: logged.append((event, fields.get("cause"))),
     )
     writer.start()
-    ((changes, state),) = commits(1)
+    ((changes, state),) = make_commits(1)
     writer.submit(changes, lambda: deepcopy(state))
     assert writer.wait_until_committed(10)
     state.servers["large"] = ServerRecord(endpoint="x" * records.MAX_PAYLOAD_BYTES)
@@ -64,5 +64,5 @@
     assert writer.wait_until_committed(10) and logged[-1][0] == "state_persisted_again"
     writer.stop(5)
     directory.close()
-    loaded = StateDirectory(SimulatedDisk(memory)).open()
+    loaded = StateDirectory(SimulatedDisk(storage)).open()
     assert loaded.state == state and len(loaded.findings) == 1
