--- a/havendyke/cli/__init__.py
+++ b/havendyke/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Sub-commands for operators, one file each; each imports what it needs when it is called."""
+"""Subcommands for operators, one module each, imported when the command is called."""
--- a/havendyke/cli/check.py
+++ b/havendyke/cli/check.py
@@ -1,4 +1,4 @@
-"""`havendyke check`: both files as a start would read them."""
+"""`havendyke check`: validates the configuration and the operator's file."""
 
 import os
 from collections.abc import Mapping
@@ -29,11 +29,11 @@
             "nothing to check: name --config, --operator, or set ROUTER_CONFIG or "
             "HAVENDYKE_OPERATOR"
         )
-    print_result(checked, as_json, _text)
+    print_result(checked, as_json, _format_result)
 
 
 def _check_config(path: str | None) -> str:
-    """The name of the assigner that the configuration is for."""
+    """Checks the configuration; returns the name of its assigner."""
     from ..config import ConfigError, load_config
 
     try:
@@ -43,7 +43,7 @@
 
 
 def _check_operator_file(path: str) -> list[str]:
-    """The sections that the file has."""
+    """Checks the operator's file; returns its sections."""
     from ..settings import reader
 
     try:
@@ -52,7 +52,7 @@
         raise CommandError(str(error)) from None
 
 
-def _text(checked: Mapping[str, Any]) -> str:
+def _format_result(checked: Mapping[str, Any]) -> str:
     lines = []
     if "config" in checked:
         lines.append(f"the configuration of {checked['config']} is well")
--- a/havendyke/cli/events.py
+++ b/havendyke/cli/events.py
@@ -1,4 +1,4 @@
-"""`havendyke events`: what the lines of the log mean."""
+"""`havendyke events`: describes the log events."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -31,13 +31,13 @@
         for event, (fields, meaning) in EVENTS.items()
         if name in (None, event)
     }
-    print_result(described, as_json, _text)
+    print_result(described, as_json, _format_events)
 
 
-def _text(described: Mapping[str, Mapping[str, Any]]) -> str:
-    return "\n".join(_line(event, one) for event, one in described.items())
+def _format_events(described: Mapping[str, Mapping[str, Any]]) -> str:
+    return "\n".join(_format_event(event, description) for event, description in described.items())
 
 
-def _line(event: str, described: Mapping[str, Any]) -> str:
+def _format_event(event: str, described: Mapping[str, Any]) -> str:
     fields = f" ({', '.join(described['fields'])})" if described["fields"] else ""
     return f"{event:20} {described['what']}{fields}"
--- a/havendyke/cli/lab.py
+++ b/havendyke/cli/lab.py
@@ -1,6 +1,6 @@
-"""`havendyke lab`: the laboratory.
+"""`havendyke lab`: simulations of the fleet.
 
-Its libraries are the development's, and are imported when they are needed.
+They need the libraries of the development environment, which are imported only when needed.
 """
 
 import importlib
@@ -15,14 +15,14 @@
 
 RECORDS = Path("benchmarks/records")
 FOLDER = click.Path(path_type=Path, exists=True, file_okay=False, writable=True)
-MAX_AXIS_DIGITS = 9  # of an axis's number
-MAX_WORD_LENGTH = 40  # characters of an argument in an error
+MAX_AXIS_DIGITS = 9  # of the value of an axis
+MAX_SHOWN_LENGTH = 40  # characters of an argument quoted in an error
 
 Function = TypeVar("Function", bound=Callable[..., Any])
 
 
 def _limits_options(function: Function) -> Function:
-    """Adds the options of a run: its seed and its limits."""
+    """Adds the options for the seed and the limits of a run."""
     for option in (
         click.option("--seed", type=click.IntRange(0, 1 << 32), default=1, show_default=True),
         click.option(
@@ -64,9 +64,9 @@
     """The points of a whole measurement, with their axes."""
     points = {
         point.name: {"role": point.role, **point.size.described()}
-        for point in _library("size").plan()
+        for point in _import_module("size").plan()
     }
-    print_result(points, as_json, _plan_text)
+    print_result(points, as_json, _format_plan)
 
 
 @scale.command()
@@ -101,13 +101,13 @@
 ) -> None:
     """One run with AXIS=NUMBER as given, the others as the base has them: tasks, slices, proxies,
     assigners, zones, classes, changes (a minute), reports (a second), hollow."""
-    size, record, guard = _library("size"), _library("record"), _library("guard")
-    runner, errors = _library("run"), _run_errors()
+    size, record, guard = _import_module("size"), _import_module("record"), _import_module("guard")
+    scale_run, errors = _import_module("run"), _run_errors()
     _check_record_name(name, into)
     try:
-        point = size.Point(name, "single", size.read_size(_read_axes(axes)))
+        point = size.Point(name, "single", size.read_size(_parse_axes(axes)))
         limits = guard.machine_limits(seconds, memory_mb)
-        measured = runner.measure(point, seed, workers, limits, reals=reals)
+        measured = scale_run.measure(point, seed, workers, limits, reals=reals)
         if into is None:
             print_result(measured, True)
         else:
@@ -131,7 +131,7 @@
     into: Path, at_once: int, only: str, seed: int, seconds: float, memory_mb: float
 ) -> None:
     """All points of the plan that have no record yet."""
-    batch, guard, errors = _library("batch"), _library("guard"), _run_errors()
+    batch, guard, errors = _import_module("batch"), _import_module("guard"), _run_errors()
     try:
         limits = guard.machine_limits(seconds, memory_mb)
         batch.measure_all(into, seed, at_once, limits, click.echo, only)
@@ -145,16 +145,16 @@
 @click.option("--records", type=click.Path(path_type=Path), default=RECORDS, show_default=True)
 def plot(metric: str, path: Path, records: Path) -> None:
     """Draw METRIC (calm/bytes, release/cpu, memory) along each axis into the new file PATH."""
-    record, drawing = _library("record"), _library("plot")
+    record, plotting = _import_module("record"), _import_module("plot")
     try:
-        drawing.draw(record.read_all(records), metric, path)
-    except (record.BadRecord, drawing.NoSuchFigure) as error:
+        plotting.draw(record.read_all(records), metric, path)
+    except (record.BadRecord, plotting.NoSuchFigure) as error:
         raise CommandError(str(error)) from None
     click.echo(path)
 
 
-def _library(name: str) -> ModuleType:
-    """A module of the scale run; raises `CommandError` where a library is missing."""
+def _import_module(name: str) -> ModuleType:
+    """Imports a module of `lab.scale`; raises `CommandError` if a library is missing."""
     try:
         return importlib.import_module(f"havendyke.lab.scale.{name}")
     except ModuleNotFoundError as error:
@@ -164,18 +164,18 @@
 
 
 def _run_errors() -> tuple[type[Exception], ...]:
-    """The errors of a run's arguments, limits and workers, each reported in one line."""
+    """Returns the errors that are reported in one line: of arguments, limits and workers."""
     return (
-        _library("size").BadSize,
-        _library("record").BadRecord,
-        _library("guard").Exceeded,
-        _library("workers").WorkerFailed,
+        _import_module("size").BadSize,
+        _import_module("record").BadRecord,
+        _import_module("guard").Exceeded,
+        _import_module("workers").WorkerFailed,
     )
 
 
 def _check_record_name(name: str, into: Path | None) -> None:
     if not name.replace("-", "").replace("_", "").isalnum():
-        shown = name[:MAX_WORD_LENGTH]
+        shown = name[:MAX_SHOWN_LENGTH]
         raise CommandError(f"a record's name has letters, digits, - and _, not '{shown}'")
     if into is not None and (into / f"{name}.json").exists():
         raise CommandError(
@@ -183,18 +183,18 @@
         )
 
 
-def _read_axes(words: Sequence[str]) -> dict[str, int]:
-    """The axes by name, from words such as tasks=400; raises `CommandError`."""
+def _parse_axes(arguments: Sequence[str]) -> dict[str, int]:
+    """Parses axes such as tasks=400; returns values by name. Raises `CommandError`."""
     axes = {}
-    for word in words:
-        name, _, value = word.partition("=")
+    for argument in arguments:
+        name, _, value = argument.partition("=")
         if not (value.isascii() and value.isdecimal()) or len(value) > MAX_AXIS_DIGITS:
-            raise CommandError(f"an axis is NAME=NUMBER, not '{word[:MAX_WORD_LENGTH]}'")
+            raise CommandError(f"an axis is NAME=NUMBER, not '{argument[:MAX_SHOWN_LENGTH]}'")
         axes[name] = int(value)
     return axes
 
 
-def _plan_text(points: Mapping[str, Mapping[str, Any]]) -> str:
+def _format_plan(points: Mapping[str, Mapping[str, Any]]) -> str:
     return "\n".join(
         f"{name:16} {' '.join(f'{axis}={value}' for axis, value in axes.items())}"
         for name, axes in points.items()
--- a/havendyke/cli/main.py
+++ b/havendyke/cli/main.py
@@ -1,8 +1,8 @@
-"""`havendyke COMMAND`: dispatch, and one way for all commands to print and to fail.
+"""`havendyke COMMAND`: dispatches commands, and prints their results and errors.
 
-Status 0: done, and nothing is wrong. 1: done, and something is (a damaged state, two that differ).
-2: the call or a file it names is wrong; one line on standard error says what. Results are text, or
-JSON with `--json`.
+Exit status 0: success. 1: the command ran and found a problem, such as a damaged state or two
+states that differ. 2: an invalid command line or an error in a file that it names, which one line
+on standard error describes. Results are text, or JSON with `--json`.
 """
 
 import importlib
@@ -17,7 +17,7 @@
 
 PROGRAM = "havendyke"
 STATUS_OK = 0
-STATUS_WRONG_CALL = 2
+STATUS_USAGE_ERROR = 2
 JSON_OPTIONS = orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS
 
 Function = TypeVar("Function", bound=Callable[..., Any])
@@ -25,18 +25,18 @@
 
 
 class CommandError(Exception):
-    """The call, or a file that it names, is wrong; one line says what."""
+    """An invalid command line, or an error in a file that it names; the text is one line."""
 
 
 class CommandGroup(click.Group):
-    """The sub-commands; each one's module is imported when the command is called."""
+    """The subcommands; the module of each is imported when it is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names, in the order of the help."""
+        """Returns the names of the commands in the order of the help."""
         return [RUN, *COMMANDS]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of a name; None where there is none."""
+        """Returns the command with a name, or None if there is none."""
         if cmd_name == RUN:
             return run
         if cmd_name not in COMMANDS:
@@ -45,7 +45,7 @@
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Writes the help's list of commands, without importing their modules."""
+        """Writes the list of commands in the help without importing their modules."""
         with formatter.section("Commands"):
             formatter.write_dl([(RUN, RUN_SUMMARY), *COMMANDS.items()])
 
@@ -65,31 +65,31 @@
 
 
 def json_option(function: Function) -> Function:
-    """Adds `--json` to a command, as its argument `as_json`."""
+    """Adds the option `--json` to a command, as its parameter `as_json`."""
     return click.option("--json", "as_json", is_flag=True, help="JSON, for programs.")(function)
 
 
 def print_result(result: Result, as_json: bool, format_text: Callable[[Result], str] = str) -> None:
-    """Prints a command's result, as JSON or as the text that `format_text` makes of it."""
+    """Prints the result of a command as JSON or as formatted by `format_text`."""
     if as_json:
         click.echo(orjson.dumps(result, option=JSON_OPTIONS).decode())
     else:
         click.echo(format_text(result))
 
 
-def main(words: Sequence[str]) -> int:
-    """Runs the command of these words; returns the exit status."""
+def main(arguments: Sequence[str]) -> int:
+    """Runs the command line; returns the exit status."""
     try:
-        status = commands.main(list(words), prog_name=PROGRAM, standalone_mode=False)
+        status = commands.main(list(arguments), prog_name=PROGRAM, standalone_mode=False)
     except click.ClickException as error:
-        return _fail(error.format_message())
+        return _report_error(error.format_message())
     except CommandError as error:
-        return _fail(str(error))
+        return _report_error(str(error))
     except BrokenPipeError:
         return STATUS_OK
     return status if isinstance(status, int) else STATUS_OK
 
 
-def _fail(reason: str) -> int:
+def _report_error(reason: str) -> int:
     print(f"{PROGRAM}: {reason}", file=sys.stderr)
-    return STATUS_WRONG_CALL
+    return STATUS_USAGE_ERROR
--- a/havendyke/cli/settings.py
+++ b/havendyke/cli/settings.py
@@ -1,4 +1,4 @@
-"""`havendyke settings`: what the operator's file says, and what each key is for."""
+"""`havendyke settings`: shows the operator's file and describes its keys."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -31,7 +31,7 @@
         }
     except OperatorFileError as error:
         raise CommandError(str(error)) from None
-    print_result(sections, as_json, _show_text)
+    print_result(sections, as_json, _format_sections)
 
 
 @command.command()
@@ -44,13 +44,13 @@
     if not keys:
         hint = suggestion(key_name, [key.name for key in schema.KEYS])
         raise CommandError(f"no key is named '{name}'{hint}")
-    print_result([_key_row(key) for key in keys], as_json, _explain_text)
+    print_result([_key_row(key) for key in keys], as_json, _format_keys)
 
 
 @command.command()
 def page() -> None:
     """The operators' page of all keys, as docs/operators/settings.md has it."""
-    click.echo(operators_page.page(), nl=False)
+    click.echo(operators_page.render_page(), nl=False)
 
 
 def _section_rows(
@@ -63,13 +63,13 @@
 
 
 def _source(file: OperatorFile, section: str, name: str) -> str:
-    stated = file.values.get((section, name))
-    return f"{stated.location.file}:{stated.location.line}" if stated else "default"
+    configured = file.values.get((section, name))
+    return f"{configured.location.file}:{configured.location.line}" if configured else "default"
 
 
-def _show_text(sections: Mapping[str, Mapping[str, Mapping[str, Any]]]) -> str:
+def _format_sections(sections: Mapping[str, Mapping[str, Mapping[str, Any]]]) -> str:
     lines = [
-        f"[{section}] {name} = {key.show(rows[name]['value'])}    ({rows[name]['from']})"
+        f"[{section}] {name} = {key.format_value(rows[name]['value'])}    ({rows[name]['from']})"
         for section, rows in sections.items()
         for name, key in schema.keys_of(section).items()
     ]
@@ -81,14 +81,14 @@
         "section": key.section,
         "key": key.name,
         "kind": key.kind.value,
-        "default": key.show(key.default),
-        "least": key.show(key.minimum),
-        "most": key.show(key.maximum),
+        "default": key.format_value(key.default),
+        "least": key.format_value(key.minimum),
+        "most": key.format_value(key.maximum),
         "help": key.help,
     }
 
 
-def _explain_text(rows: list[dict[str, str]]) -> str:
+def _format_keys(rows: list[dict[str, str]]) -> str:
     return "\n\n".join(
         f"[{row['section']}] {row['key']}: {row['kind']}, default {row['default']}\n  {row['help']}"
         for row in rows
--- a/havendyke/cli/state.py
+++ b/havendyke/cli/state.py
@@ -1,6 +1,7 @@
 """`havendyke state`: inspects and changes the persisted state of an assigner.
 
-Import and compact need the assigner stopped; the other commands only read, also while it runs.
+`import` and `compact` require the assigner to be stopped; the other commands only read, and can be
+used while it runs.
 """
 
 import os
@@ -27,8 +28,8 @@
 EXPORT_FORMAT = "havendyke state 1"
 DEFAULT_WARM_UP_MS = 16_000.0
 MAX_ERROR_LENGTH = 100  # characters
-# Begins the finding of `StateDirectory` that names what is used; every other one is damage.
-FOUND_NOTHING_WRONG = "goes by"
+# The finding of `StateDirectory` that names the loaded files begins so; any other is damage.
+LOADED_PREFIX = "goes by"
 
 
 @click.group("state")
@@ -53,11 +54,11 @@
         "folder": folder,
         "generation": loaded.generation,
         "goes_by": loaded.findings,
-        **_sizes(state),
+        **_counts(state),
         "last_alive": describe_age(age_of(state.last_alive, now)),
-        "believed": [_assessment_row(one) for one in assess_all(state, now, cold)],
+        "believed": [_assessment_row(each) for each in assess_all(state, now, cold)],
     }
-    print_result(result, as_json, lambda shown: _show_text(shown, _sizes(state)))
+    print_result(result, as_json, lambda shown: _format_state(shown, _counts(state)))
 
 
 @command.command()
@@ -66,14 +67,14 @@
 def verify(folder: str, as_json: bool) -> None:
     """Read everything in FOLDER. Status 1 where something is damaged."""
     _, loaded = _open(folder)
-    damage = [finding for finding in loaded.findings if not finding.startswith(FOUND_NOTHING_WRONG)]
+    damage = [finding for finding in loaded.findings if not finding.startswith(LOADED_PREFIX)]
     result = {
         "folder": folder,
         "generation": loaded.generation,
         "damage": damage,
-        **_sizes(loaded.state),
+        **_counts(loaded.state),
     }
-    print_result(result, as_json, _verify_text)
+    print_result(result, as_json, _format_verification)
     raise click.exceptions.Exit(1 if damage else 0)
 
 
@@ -82,9 +83,9 @@
 def compact(folder: str) -> None:
     """Begin a new generation in FOLDER: one snapshot, an empty log. The assigner must be
     stopped."""
-    directory, loaded = _open(folder, write=True)  # opening for writing begins a generation
+    directory, loaded = _open(folder, write=True)  # opening for writing starts a generation
     directory.close()
-    click.echo(_generation_line(directory, loaded.state))
+    click.echo(_format_generation(directory, loaded.state))
     if directory.write_error:
         raise CommandError(f"{folder}: {describe_error(directory.write_error)}")
 
@@ -117,7 +118,7 @@
         raise CommandError(f"{folder}: {describe_error(error)}") from None
     finally:
         directory.close()
-    click.echo(_generation_line(directory, state))
+    click.echo(_format_generation(directory, state))
 
 
 @command.command()
@@ -129,7 +130,7 @@
     they differ."""
     records = [encode(change) for change in difference(_read_state(one), _read_state(other))]
     rows = [{"kind": kind, **fields} for kind, fields in records]
-    print_result(rows, as_json, _diff_text)
+    print_result(rows, as_json, _format_differences)
     raise click.exceptions.Exit(1 if rows else 0)
 
 
@@ -146,34 +147,34 @@
 
 
 def _read_state(path: str) -> PersistedState:
-    """The state of a folder or of an exported file."""
+    """Returns the state of a directory or of an exported file."""
     return _open(path)[1].state if os.path.isdir(path) else _read_export(path)
 
 
 def _read_export(path: str) -> PersistedState:
-    number = -1
+    index = -1
     try:
         exported = orjson.loads(Path(path).read_bytes())
         if not isinstance(exported, dict) or exported.get("form") != EXPORT_FORMAT:
             raise CommandError(f"{path}: not a state as 'havendyke state export' writes it")
         state = PersistedState()
         for kind, fields in exported["changes"]:
-            number += 1
+            index += 1
             decode(kind, fields).apply(state)
         return state
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}") from None
     except RecordError as error:
-        raise CommandError(f"{path}: change {number}: {error}") from None
+        raise CommandError(f"{path}: change {index}: {error}") from None
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         reason = f"{type(error).__name__}: {str(error)[:MAX_ERROR_LENGTH]}"
         raise CommandError(f"{path}: {reason}") from None
 
 
-# What is printed
+# Output
 
 
-def _sizes(state: PersistedState) -> dict[str, int]:
+def _counts(state: PersistedState) -> dict[str, int]:
     return {
         "servers": len(state.servers),
         "drains": len(state.tombstones),
@@ -193,8 +194,8 @@
     }
 
 
-def _show_text(shown: Mapping[str, Any], sizes: Mapping[str, int]) -> str:
-    summary = ", ".join(f"{size} {name}" for name, size in sizes.items())
+def _format_state(shown: Mapping[str, Any], counts: Mapping[str, int]) -> str:
+    summary = ", ".join(f"{count} {name}" for name, count in counts.items())
     lines = [*shown["goes_by"], f"last alive {shown['last_alive']}; {summary}"]
     lines += [
         f"{row['server']:24} {row['state']:9} {row['trust']:5.2f}  {row['why']}"
@@ -203,17 +204,17 @@
     return "\n".join(lines)
 
 
-def _verify_text(shown: Mapping[str, Any]) -> str:
+def _format_verification(shown: Mapping[str, Any]) -> str:
     if shown["damage"]:
         return "\n".join(shown["damage"])
-    sizes = f"{shown['servers']} servers, {shown['slices']} slices"
-    return f"well: generation {shown['generation']}, {sizes}"
+    counts = f"{shown['servers']} servers, {shown['slices']} slices"
+    return f"well: generation {shown['generation']}, {counts}"
 
 
-def _diff_text(rows: list[dict[str, Any]]) -> str:
+def _format_differences(rows: list[dict[str, Any]]) -> str:
     return "\n".join(orjson.dumps(row).decode() for row in rows) or "alike"
 
 
-def _generation_line(directory: StateDirectory, state: PersistedState) -> str:
-    sizes = f"{len(state.servers)} servers, {len(state.slices)} slices"
-    return f"generation {directory.generation}: {sizes}"
+def _format_generation(directory: StateDirectory, state: PersistedState) -> str:
+    counts = f"{len(state.servers)} servers, {len(state.slices)} slices"
+    return f"generation {directory.generation}: {counts}"
--- a/havendyke/commands.py
+++ b/havendyke/commands.py
@@ -1,6 +1,6 @@
-"""Names and one-line descriptions of the sub-commands.
+"""Names and one-line descriptions of the subcommands.
 
-Imports nothing, so that the start of the assigner stays lean.
+Imports nothing, so that it does not slow down the start of the assigner.
 """
 
 RUN = "run"
@@ -15,6 +15,6 @@
 
 
 def command_summary() -> str:
-    """All sub-commands, one a line."""
+    """Returns a list of all subcommands, one per line."""
     lines = [f"  {name:10} {text}" for name, text in {RUN: RUN_SUMMARY, **COMMANDS}.items()]
     return "commands (havendyke COMMAND --help tells more):\n" + "\n".join(lines)
--- a/havendyke/operator_file.py
+++ b/havendyke/operator_file.py
@@ -1,6 +1,6 @@
-"""The operator's own file, and the parts of the program that it switches on.
+"""Reads the operator's file and creates the optional components that it enables.
 
-Without the file nothing of these parts is imported.
+Without the file, none of their modules is imported.
 """
 
 import os
@@ -19,9 +19,9 @@
 
 
 def read_operator_file(path: str | None) -> OperatorSettings:
-    """Reads and checks the file at `path`, or at the path that the environment names.
+    """Reads and validates the file at `path` or at the path in `HAVENDYKE_OPERATOR`.
 
-    Returns no sections where neither names a file; raises `ConfigError` where the file is wrong.
+    Returns no sections if neither is set; raises `ConfigError` if the file is invalid.
     """
     path = path or os.environ.get(OPERATOR_FILE_VARIABLE)
     if not path:
@@ -35,7 +35,7 @@
 
 
 def open_durable_state(settings: OperatorSettings, log: EventLog) -> "DurableState | None":
-    """Opens the state on disk; None where the operator's file has no section for it."""
+    """Opens the durable state; returns None if the operator's file does not enable it."""
     if "state" not in settings:
         return None
     from .recovery.durable_state import DurableState, StateOptions
--- a/havendyke/settings/__init__.py
+++ b/havendyke/settings/__init__.py
@@ -1,5 +1,5 @@
 """The operator's file.
 
-`grammar` has its lines, `schema` its keys, `values` their types, `reader` reads it and `page` makes
-the operators' page. Imported only where such a file is named.
+`grammar` parses its lines, `schema` defines its keys and `values` their types, `reader` reads it
+and `page` generates its documentation. The package is imported only if a file is specified.
 """
--- a/havendyke/settings/grammar.py
+++ b/havendyke/settings/grammar.py
@@ -1,4 +1,4 @@
-"""The lines of the operator's file, by a grammar."""
+"""Parses the lines of the operator's file."""
 
 from dataclasses import dataclass
 from functools import cache
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingLine:
-    """`key value`; any number of values, so that the reader can report a wrong number."""
+    """`key value`; allows any number of values, so that the reader can report a wrong one."""
 
     line: int
     column: int
@@ -54,25 +54,25 @@
 Line = SectionLine | IncludeLine | SettingLine
 
 
-class GrammarError(ValueError):
-    """A line that the grammar does not allow; the error's text is the line."""
+class FileSyntaxError(ValueError):
+    """A line that does not match the grammar; the text of the error is the line."""
 
     def __init__(self, line: int, column: int, text: str) -> None:
-        """Numbers count from 1."""
+        """`line` and `column` count from 1."""
         super().__init__(text)
         self.line = line
         self.column = column
 
 
-def parse(text: str) -> list[Line]:
-    """The lines of a file's text, without empty ones and comments; raises `GrammarError`."""
+def parse_lines(text: str) -> list[Line]:
+    """Parses a file's text, skipping empty lines and comments; raises `FileSyntaxError`."""
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as error:
         line, column = max(error.line, 1), max(error.column, 1)
         lines = text.split("\n")
         content = lines[line - 1].strip() if line <= len(lines) else ""
-        raise GrammarError(line, column, content) from None
+        raise FileSyntaxError(line, column, content) from None
     return [_line(node) for node in tree.children if isinstance(node, Tree)]
 
 
@@ -83,13 +83,13 @@
 
 def _line(node: Tree[Token]) -> Line:
     line, column = node.meta.line, node.meta.column
-    words = [_unquoted(token) for token in node.children if isinstance(token, Token)]
+    values = [_unquoted(token) for token in node.children if isinstance(token, Token)]
     if node.data == "section":
-        return SectionLine(line, column, words[0])
+        return SectionLine(line, column, values[0])
     if node.data == "include":
-        # The parser drops the keyword, also where it is the file's name.
-        return IncludeLine(line, column, words[0] if words else INCLUDE)
-    return SettingLine(line, column, words[0], tuple(words[1:]))
+        # The parser drops the keyword `include`, even if it is the name of the file.
+        return IncludeLine(line, column, values[0] if values else INCLUDE)
+    return SettingLine(line, column, values[0], tuple(values[1:]))
 
 
 def _unquoted(token: Token) -> str:
--- a/havendyke/settings/page.py
+++ b/havendyke/settings/page.py
@@ -1,4 +1,4 @@
-"""The operators' page of all keys, made of the schema."""
+"""Generates the operators' page of all keys from the schema."""
 
 from .schema import SECTIONS, Key, keys_of
 from .values import ValueKind
@@ -22,25 +22,25 @@
 | key | takes | without it | what |
 | --- | --- | --- | --- |
 """
-TAKES = {ValueKind.PATH: "path", ValueKind.YES_OR_NO: "yes or no"}
+VALUE_DESCRIPTIONS = {ValueKind.PATH: "path", ValueKind.BOOLEAN: "yes or no"}
 
 
-def page() -> str:
-    """The page's text."""
-    return HEADER + "".join(_section(section) for section in SECTIONS)
+def render_page() -> str:
+    """Returns the text of the page."""
+    return HEADER + "".join(_render_section(section) for section in SECTIONS)
 
 
-def _section(section: str) -> str:
-    rows = "".join(_row(key) for key in keys_of(section).values())
+def _render_section(section: str) -> str:
+    rows = "".join(_render_row(key) for key in keys_of(section).values())
     return SECTION_HEADER.format(section=section) + rows
 
 
-def _row(key: Key) -> str:
-    default = "the section is off" if key.default is None else key.show(key.default)
-    return f"| `{key.name}` | {_takes(key)} | {default} | {key.help} |\n"
+def _render_row(key: Key) -> str:
+    default = "the section is off" if key.default is None else key.format_value(key.default)
+    return f"| `{key.name}` | {_value_description(key)} | {default} | {key.help} |\n"
 
 
-def _takes(key: Key) -> str:
+def _value_description(key: Key) -> str:
     if key.kind.is_number:
         return f"{key.kind}, {key.bounds}"
-    return ", ".join(key.words) or TAKES[key.kind]
+    return ", ".join(key.choices) or VALUE_DESCRIPTIONS[key.kind]
--- a/havendyke/settings/reader.py
+++ b/havendyke/settings/reader.py
@@ -1,23 +1,23 @@
-"""Reads the operator's file: its lines, its includes, then every key against the schema.
+"""Reads the operator's file with its includes and validates every key against the schema.
 
-A file is read completely or refused.
+A file is either read completely or rejected.
 """
 
 import os
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .grammar import GrammarError, IncludeLine, Line, SectionLine, SettingLine, parse
+from .grammar import FileSyntaxError, IncludeLine, Line, SectionLine, SettingLine, parse_lines
 from .schema import SECTIONS, Key, keys_of
-from .values import Value, ValueTextError, suggestion
+from .values import InvalidValueError, Value, suggestion
 
-MAX_INCLUDE_DEPTH = 8  # files, the first one counted
+MAX_INCLUDE_DEPTH = 8  # files, including the first one
 MAX_FILE_BYTES = 1 << 20
-MAX_VALUE_LENGTH = 60  # characters of a value or a line in an error
+MAX_VALUE_LENGTH = 60  # characters of a value or line quoted in an error
 
 
 class OperatorFileError(ValueError):
-    """What is wrong with the file, in one line: file, line, column, key, what was expected."""
+    """An error in the file; one line with file, line, column, key and what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,13 +29,13 @@
     column: int
 
     def error(self, reason: str) -> OperatorFileError:
-        """The error about this position."""
+        """Returns an error at this position."""
         return OperatorFileError(f"{self.file}:{self.line}:{self.column}: {reason}")
 
 
 @dataclass(frozen=True, slots=True)
-class StatedValue:
-    """A value as it stands in a file."""
+class ConfiguredValue:
+    """A value as written in a file."""
 
     text: str
     location: Location
@@ -43,14 +43,16 @@
 
 @dataclass
 class OperatorFile:
-    """What a file and those that it includes state, not yet checked against the schema's types."""
+    """The sections and values of a file and its includes, not yet converted to their types."""
 
-    values: dict[tuple[str, str], StatedValue] = field(default_factory=dict)  # by section and key
-    sections: dict[str, Location] = field(default_factory=dict)  # where each first begins
+    # By section and key.
+    values: dict[tuple[str, str], ConfiguredValue] = field(default_factory=dict)
+    # The position at which each section first begins.
+    sections: dict[str, Location] = field(default_factory=dict)
 
 
 def read(path: str) -> dict[str, dict[str, Value]]:
-    """The values of all sections that a file has, by section and key, with defaults.
+    """Reads a file; returns the values of its sections by section and key, with defaults.
 
     Raises `OperatorFileError`.
     """
@@ -59,22 +61,22 @@
 
 
 def load_files(path: str, read_text: Callable[[str], str] | None = None) -> OperatorFile:
-    """What a file and its includes state; raises `OperatorFileError`.
+    """Loads a file and its includes; raises `OperatorFileError`.
 
-    `read_text` takes a path, `read_file` by default.
+    `read_text` returns the text of the file at a path; `read_file` by default.
     """
-    collector = _Collector(read_text or read_file)
-    collector.collect(path)
-    return collector.file
+    loader = _FileLoader(read_text or read_file)
+    loader.load(path)
+    return loader.file
 
 
 def resolve(file: OperatorFile, section: str) -> dict[str, Value]:
-    """The values of a section by key, with defaults; raises `OperatorFileError`."""
+    """Returns the values of a section by key, with defaults; raises `OperatorFileError`."""
     return {name: _resolve_key(file, key) for name, key in keys_of(section).items()}
 
 
 def read_file(path: str) -> str:
-    """A file's text; raises `OperatorFileError`."""
+    """Returns the text of a file; raises `OperatorFileError`."""
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
@@ -90,31 +92,31 @@
 
 
 def _resolve_key(file: OperatorFile, key: Key) -> Value:
-    stated = file.values.get((key.section, key.name))
-    if stated is None:
+    configured = file.values.get((key.section, key.name))
+    if configured is None:
         if key.default is None:
             location = file.sections[key.section]
             raise location.error(f"[{key.section}] needs '{key.name}' ({key.kind})")
         return key.default
     try:
-        return key.read(stated.text)
-    except ValueTextError as error:
-        text = stated.text[:MAX_VALUE_LENGTH]
-        raise stated.location.error(f"'{key.name}' is {text!r}: {error}") from None
+        return key.parse(configured.text)
+    except InvalidValueError as error:
+        text = configured.text[:MAX_VALUE_LENGTH]
+        raise configured.location.error(f"'{key.name}' is {text!r}: {error}") from None
 
 
-class _Collector:
-    """Gathers the lines of a file and of its includes, in order."""
+class _FileLoader:
+    """Loads a file and its includes, in the order of their lines."""
 
     def __init__(self, read_text: Callable[[str], str]) -> None:
         self.file = OperatorFile()
         self._read_text = read_text
 
-    def collect(self, path: str, including: tuple[str, ...] = ()) -> None:
-        """Adds a file; `including` are the paths of those that lead to it."""
-        if path in including:
+    def load(self, path: str, include_chain: tuple[str, ...] = ()) -> None:
+        """Loads a file; `include_chain` has the paths of the files through which it is included."""
+        if path in include_chain:
             raise OperatorFileError(f"{path}: includes itself")
-        if len(including) >= MAX_INCLUDE_DEPTH:
+        if len(include_chain) >= MAX_INCLUDE_DEPTH:
             raise OperatorFileError(f"{path}: included over {MAX_INCLUDE_DEPTH} deep")
         section = None
         for line in self._parse(path):
@@ -124,16 +126,16 @@
                     section = line.name
                     self._add_section(section, location)
                 case IncludeLine():
-                    # Beside the file that names it.
+                    # Relative to the directory of the including file.
                     included = os.path.join(os.path.dirname(path), line.file)
-                    self.collect(included, (*including, path))
+                    self.load(included, (*include_chain, path))
                 case SettingLine():
                     self._add_value(section, line, location)
 
     def _parse(self, path: str) -> list[Line]:
         try:
-            return parse(self._read_text(path))
-        except GrammarError as error:
+            return parse_lines(self._read_text(path))
+        except FileSyntaxError as error:
             reason = (
                 f"cannot read {str(error)[:MAX_VALUE_LENGTH]!r}; "
                 "expected [section], key value, include FILE or #"
@@ -160,4 +162,4 @@
         if (section, key) in self.file.values:
             first = self.file.values[section, key].location
             raise location.error(f"'{key}' was given before, at {first.file}:{first.line}")
-        self.file.values[section, key] = StatedValue(line.values[0], location)
+        self.file.values[section, key] = ConfiguredValue(line.values[0], location)
--- a/havendyke/settings/schema.py
+++ b/havendyke/settings/schema.py
@@ -1,42 +1,43 @@
-"""Every key of the operator's file in one place: type, bounds, default and what it is for.
+"""All keys of the operator's file, with their type, bounds, default and description.
 
-`docs/operators/settings.md` is made of it. A subsystem maps its section's keys to its own options.
+`docs/operators/settings.md` is generated from them. Each subsystem maps the keys of its section to
+its own options.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from .values import Value, ValueKind, ValueTextError, parse, show
+from .values import InvalidValueError, Value, ValueKind, format_value, parse_value
 
 
 @dataclass(frozen=True)
 class Key:
-    """A key of a section. Bounds hold for numbers, in milliseconds, bytes or as they are."""
+    """A key of a section. Bounds apply to numbers: milliseconds, bytes or plain counts."""
 
     section: str
     name: str
     kind: ValueKind
-    default: Value | None  # None: must be stated, or the section be left out
+    default: Value | None  # None: required if the section is present
     help: str
     minimum: float = 0.0
     maximum: float = 1e15
-    words: tuple[str, ...] = ()
+    choices: tuple[str, ...] = ()
 
-    def read(self, text: str) -> Value:
-        """The value of a text, within the bounds; raises `ValueTextError`."""
-        value = parse(self.kind, text, self.words)
+    def parse(self, text: str) -> Value:
+        """Parses a value and checks its bounds; raises `InvalidValueError`."""
+        value = parse_value(self.kind, text, self.choices)
         if not isinstance(value, str) and self.kind.is_number and not self._allows(value):
-            raise ValueTextError(f"expected {self.bounds}")
+            raise InvalidValueError(f"expected {self.bounds}")
         return value
 
-    def show(self, value: Value | None) -> str:
-        """A value of the key as an operator writes it."""
-        return show(self.kind, value)
+    def format_value(self, value: Value | None) -> str:
+        """Formats a value of the key as in the operator's file."""
+        return format_value(self.kind, value)
 
     @property
     def bounds(self) -> str:
-        """The bounds as an operator writes them."""
-        return f"{self.show(self.minimum)} to {self.show(self.maximum)}"
+        """The bounds, formatted as in the operator's file."""
+        return f"{self.format_value(self.minimum)} to {self.format_value(self.maximum)}"
 
     def _allows(self, value: float) -> bool:
         return self.minimum <= value <= self.maximum
@@ -100,5 +101,5 @@
 
 
 def keys_of(section: str) -> Mapping[str, Key]:
-    """The keys of a section by name."""
+    """Returns the keys of a section by name."""
     return {key.name: key for key in KEYS if key.section == section}
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""Commands as an operator calls them, and the program with a persisted state over SIGKILL."""
+"""Commands as an operator runs them, and the program with a persisted state over SIGKILL."""
 
 import json
 import signal
@@ -26,8 +26,8 @@
 
 
 @pytest.fixture
-def folder(tmp_path):
-    """A folder with two servers, one of them drained."""
+def state_path(tmp_path):
+    """A state directory with two servers, one of them draining."""
     state = PersistedState(
         servers={
             "s1": ServerRecord("127.0.0.1:80", source=EvidenceSource.ENDPOINT_LIST),
@@ -37,59 +37,64 @@
         slices={4: SliceTable({"s1": 1.0}, True)},
         list_version=3,
     )
-    made = StateDirectory(Disk(str(tmp_path / "state")))
-    made.open()
-    made.commit(snapshot(state), state)
-    made.close()
+    directory = StateDirectory(Disk(str(tmp_path / "state")))
+    directory.open()
+    directory.commit(snapshot(state), state)
+    directory.close()
     return str(tmp_path / "state")
 
 
-def call(capsys, *words):
-    status = main(list(words))
-    out, err = capsys.readouterr()
-    return status, out, err
+def run_cli(capsys, *arguments):
+    status = main(list(arguments))
+    stdout, stderr = capsys.readouterr()
+    return status, stdout, stderr
 
 
-def test_show_prints_what_a_start_would_believe(folder, capsys):
-    status, out, _ = call(capsys, "state", "show", folder, "--json")
-    told = json.loads(out)
+def test_show_prints_the_assessments_of_a_recovery(state_path, capsys):
+    status, stdout, _ = run_cli(capsys, "state", "show", state_path, "--json")
+    output = json.loads(stdout)
     assert (
         status == 0
-        and told["servers"] == 2
-        and {b["server"]: b["state"] for b in told["believed"]} == {"s1": "ready", "s2": "draining"}
+        and output["servers"] == 2
+        and {assessment["server"]: assessment["state"] for assessment in output["believed"]}
+        == {"s1": "ready", "s2": "draining"}
     )
-    assert "s1" in call(capsys, "state", "show", folder)[1]
+    assert "s1" in run_cli(capsys, "state", "show", state_path)[1]
 
 
-def test_verify_ends_with_status_1_where_something_is_damaged(folder, capsys):
-    assert call(capsys, "state", "verify", folder)[0] == 0
-    path = next(Path(folder).glob("log-*"))
+def test_verify_exits_with_status_1_if_a_file_is_damaged(state_path, capsys):
+    assert run_cli(capsys, "state", "verify", state_path)[0] == 0
+    path = next(Path(state_path).glob("log-*"))
     path.write_bytes(path.read_bytes()[:-3])
-    status, out, _ = call(capsys, "state", "verify", folder)
-    assert status == 1 and "torn" in out
+    status, stdout, _ = run_cli(capsys, "state", "verify", state_path)
+    assert status == 1 and "torn" in stdout
 
 
-def test_an_exported_state_is_the_same_once_it_is_imported_and_compacted(folder, tmp_path, capsys):
-    _, out, _ = call(capsys, "state", "export", folder)
-    (tmp_path / "out.json").write_text(out)
-    assert call(capsys, "state", "diff", folder, str(tmp_path / "out.json"))[:2] == (0, "alike\n")
+def test_an_exported_state_is_unchanged_by_import_and_compaction(state_path, tmp_path, capsys):
+    _, stdout, _ = run_cli(capsys, "state", "export", state_path)
+    (tmp_path / "out.json").write_text(stdout)
+    assert run_cli(capsys, "state", "diff", state_path, str(tmp_path / "out.json"))[:2] == (
+        0,
+        "alike\n",
+    )
     assert (
-        call(capsys, "state", "import", str(tmp_path / "other"), str(tmp_path / "out.json"))[0] == 0
+        run_cli(capsys, "state", "import", str(tmp_path / "other"), str(tmp_path / "out.json"))[0]
+        == 0
     )
-    assert call(capsys, "state", "diff", folder, str(tmp_path / "other"))[0] == 0
+    assert run_cli(capsys, "state", "diff", state_path, str(tmp_path / "other"))[0] == 0
     assert (
-        call(capsys, "state", "compact", folder)[0] == 0
-        and call(capsys, "state", "verify", folder)[0] == 0
+        run_cli(capsys, "state", "compact", state_path)[0] == 0
+        and run_cli(capsys, "state", "verify", state_path)[0] == 0
     )
-    changed = json.loads(out)
-    changed["changes"] = [c for c in changed["changes"] if c[0] != "tomb"]
+    changed = json.loads(stdout)
+    changed["changes"] = [change for change in changed["changes"] if change[0] != "tomb"]
     (tmp_path / "less.json").write_text(json.dumps(changed))
-    status, told, _ = call(capsys, "state", "diff", folder, str(tmp_path / "less.json"))
-    assert status == 1 and '"lift"' in told
+    status, stdout, _ = run_cli(capsys, "state", "diff", state_path, str(tmp_path / "less.json"))
+    assert status == 1 and '"lift"' in stdout
 
 
 @pytest.mark.parametrize(
-    "words, said",
+    "arguments, expected",
     [
         (["state", "show", "/nonexistent"], "no such folder"),
         (["state", "import", "{}", "/nonexistent"], "No such file"),
@@ -102,30 +107,34 @@
         (["check", "--operator", __file__], "cannot read"),
     ],
 )
-def test_a_wrong_call_ends_with_one_line_and_status_2(folder, capsys, monkeypatch, words, said):
+def test_a_usage_error_prints_one_line_and_exits_with_status_2(
+    state_path, capsys, monkeypatch, arguments, expected
+):
     monkeypatch.delenv("ROUTER_CONFIG", raising=False)
-    status, _, err = call(capsys, *[w.replace("{}", folder) for w in words])
-    assert status == 2 and said in err and err.count("\n") == 1
+    status, _, stderr = run_cli(
+        capsys, *[argument.replace("{}", state_path) for argument in arguments]
+    )
+    assert status == 2 and expected in stderr and stderr.count("\n") == 1
 
 
-def test_a_folder_in_use_is_shown_and_not_written(folder, capsys):
-    holder = StateDirectory(Disk(folder))
+def test_a_locked_directory_can_be_shown_and_not_written(state_path, capsys):
+    holder = StateDirectory(Disk(state_path))
     holder.open()
-    assert call(capsys, "state", "compact", folder)[0] == 2
-    assert call(capsys, "state", "show", folder)[0] == 0  # reading is always possible
+    assert run_cli(capsys, "state", "compact", state_path)[0] == 2
+    assert run_cli(capsys, "state", "show", state_path)[0] == 0  # reading needs no lock
     holder.close()
 
 
-def test_settings_show_prints_where_each_value_stands(tmp_path, capsys):
+def test_settings_show_prints_the_source_of_each_value(tmp_path, capsys):
     (tmp_path / "x.conf").write_text("[state]\nfolder /var/x\n")
-    status, out, _ = call(capsys, "settings", "show", str(tmp_path / "x.conf"))
-    assert status == 0 and "x.conf:2" in out and "gather = 50ms    (default)" in out
-    assert "Size of the log" in call(capsys, "settings", "explain", "state.log-most")[1]
+    status, stdout, _ = run_cli(capsys, "settings", "show", str(tmp_path / "x.conf"))
+    assert status == 0 and "x.conf:2" in stdout and "gather = 50ms    (default)" in stdout
+    assert "Size of the log" in run_cli(capsys, "settings", "explain", "state.log-most")[1]
 
 
-def run(tmp_path, *more):
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        listen = f"127.0.0.1:{free.getsockname()[1]}"
+def start_assigner(tmp_path, *options):
+    with socket.create_server(("127.0.0.1", 0)) as free_socket:
+        listen = f"127.0.0.1:{free_socket.getsockname()[1]}"
     raw = raw_config(
         listen=listen,
         discovery="127.0.0.1:1",
@@ -134,43 +143,45 @@
     )
     (tmp_path / "config.json").write_text(json.dumps(raw))
     return subprocess.Popen(
-        [sys.executable, "-m", "havendyke", "--config", str(tmp_path / "config.json"), *more],
+        [sys.executable, "-m", "havendyke", "--config", str(tmp_path / "config.json"), *options],
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
     )
 
 
-def until(process, event):
-    return next(told for told in map(json.loads, process.stderr) if told["event"] == event)
+def read_until(process, event):
+    return next(line for line in map(json.loads, process.stderr) if line["event"] == event)
 
 
-def test_the_state_survives_a_kill_and_a_bad_operators_file_is_refused(tmp_path, folder):
-    (tmp_path / "op.conf").write_text(f"[state]\nfolder {folder}\n")
-    for how in (signal.SIGKILL, signal.SIGTERM):
-        process = run(tmp_path, "--operator", str(tmp_path / "op.conf"))
+def test_the_state_survives_a_kill_and_an_invalid_operators_file_is_rejected(tmp_path, state_path):
+    (tmp_path / "op.conf").write_text(f"[state]\nfolder {state_path}\n")
+    for sent_signal in (signal.SIGKILL, signal.SIGTERM):
+        process = start_assigner(tmp_path, "--operator", str(tmp_path / "op.conf"))
         try:
-            assert until(process, "state_recovered")["tombstones"] == 1
-            until(process, "listening")
-            if how == signal.SIGTERM:
+            assert read_until(process, "state_recovered")["tombstones"] == 1
+            read_until(process, "listening")
+            if sent_signal == signal.SIGTERM:
                 (tmp_path / "op.conf").write_text("[state]\nfoldr /x\n")
                 process.send_signal(signal.SIGHUP)
-                assert "op.conf:2" in until(process, "reload_refused")["cause"]
-            process.send_signal(how)
-            out, _ = process.communicate(timeout=10)
-            assert how == signal.SIGKILL or json.loads(out)["state_commits"] >= 1
+                assert "op.conf:2" in read_until(process, "reload_refused")["cause"]
+            process.send_signal(sent_signal)
+            stdout, _ = process.communicate(timeout=10)
+            assert sent_signal == signal.SIGKILL or json.loads(stdout)["state_commits"] >= 1
         finally:
             process.kill()
             process.communicate()
-    process = run(tmp_path, "--operator", str(tmp_path / "op.conf"))
-    _, err = process.communicate(timeout=10)
-    assert process.returncode == 2 and b"did you mean 'folder'?" in err and err.count(b"\n") == 1
-
-
-def test_a_state_with_a_record_too_large_to_store_is_one_line(folder, tmp_path, capsys):
-    out = json.loads(call(capsys, "state", "export", folder)[1])
-    kind, fields = next(change for change in out["changes"] if change[0] == "entry")
-    out["changes"].append([kind, {**fields, "endpoint": "x" * MAX_PAYLOAD_BYTES}])
-    (tmp_path / "large.json").write_text(json.dumps(out))
-    status, _, told = call(capsys, "state", "import", folder, str(tmp_path / "large.json"))
-    assert status == 2 and f"{folder}: a record of 1048" in told
-    assert call(capsys, "state", "verify", folder)[0] == 0
+    process = start_assigner(tmp_path, "--operator", str(tmp_path / "op.conf"))
+    _, stderr = process.communicate(timeout=10)
+    assert (
+        process.returncode == 2 and b"did you mean 'folder'?" in stderr and stderr.count(b"\n") == 1
+    )
+
+
+def test_importing_a_record_that_is_too_large_prints_one_line(state_path, tmp_path, capsys):
+    exported = json.loads(run_cli(capsys, "state", "export", state_path)[1])
+    kind, fields = next(change for change in exported["changes"] if change[0] == "entry")
+    exported["changes"].append([kind, {**fields, "endpoint": "x" * MAX_PAYLOAD_BYTES}])
+    (tmp_path / "large.json").write_text(json.dumps(exported))
+    status, _, stderr = run_cli(capsys, "state", "import", state_path, str(tmp_path / "large.json"))
+    assert status == 2 and f"{state_path}: a record of 1048" in stderr
+    assert run_cli(capsys, "state", "verify", state_path)[0] == 0
--- a/tests/cli/test_output_of_bf4fd60.py
+++ b/tests/cli/test_output_of_bf4fd60.py
@@ -1,4 +1,4 @@
-"""Commands print, and end with, what they did at commit bf4fd60, which wrote `commands.json`."""
+"""Output and exit status of commands are those of commit bf4fd60, which wrote `commands.json`."""
 
 import json
 from pathlib import Path
@@ -14,13 +14,13 @@
 
 
 @pytest.mark.parametrize(
-    "words, status, out, err", CALLS, ids=[" ".join(call[0]) for call in CALLS]
+    "arguments, status, stdout, stderr", CALLS, ids=[" ".join(call[0]) for call in CALLS]
 )
-def test_a_command_prints_the_same(words, status, out, err, capsys, monkeypatch):
+def test_a_command_prints_the_same(arguments, status, stdout, stderr, capsys, monkeypatch):
     monkeypatch.setattr(state, "read_timestamp", lambda: Timestamp(1.7e12 + 3e5, "boot-2", 4000.0))
     monkeypatch.setenv("COLUMNS", "80")
     monkeypatch.delenv("ROUTER_CONFIG", raising=False)
     monkeypatch.delenv("HAVENDYKE_OPERATOR", raising=False)
-    assert main([word.replace("{}", str(DATA)) for word in words]) == status
+    assert main([argument.replace("{}", str(DATA)) for argument in arguments]) == status
     printed = [text.replace(str(DATA), "{}") for text in capsys.readouterr()]
-    assert printed == [out, err]
+    assert printed == [stdout, stderr]
--- a/tests/settings/test_files_of_bf4fd60.py
+++ b/tests/settings/test_files_of_bf4fd60.py
@@ -1,4 +1,4 @@
-"""The operator's file is read, and refused, as at commit bf4fd60, which wrote the outcomes."""
+"""Operator's files are read or rejected as at commit bf4fd60, which recorded the outcomes."""
 
 import json
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("text, outcome, expected", OUTCOMES)
-def test_a_file_is_read_or_refused_with_the_same_words(text, outcome, expected, tmp_path):
+def test_a_file_is_read_or_rejected_with_the_same_message(text, outcome, expected, tmp_path):
     (tmp_path / "main.conf").write_bytes(text.encode())
     path = str(tmp_path / "main.conf")
     if outcome == "read":
@@ -23,7 +23,7 @@
         assert str(error.value).replace(str(tmp_path), "{}") == expected
 
 
-def test_a_file_that_includes_another_is_read_to_the_same_values():
+def test_a_file_with_an_include_is_read_to_the_same_values():
     assert reader.read(str(DATA / "operator.conf")) == {
         "state": {
             "folder": "/var/lib/a b",
--- a/tests/settings/test_reader.py
+++ b/tests/settings/test_reader.py
@@ -1,4 +1,4 @@
-"""Files as operators write them, and every way to get one wrong, with the line of the error."""
+"""Valid operator's files, and errors in them with the position that is reported."""
 
 from pathlib import Path
 
@@ -9,8 +9,8 @@
 ROOT = Path(__file__).parents[2]
 
 
-def read(tmp_path, text, **more):
-    for name, content in {"main.conf": text, **more}.items():
+def read(tmp_path, text, **included):
+    for name, content in {"main.conf": text, **included}.items():
         (tmp_path / name.replace("_", ".")).write_text(content)
     return reader.read(str(tmp_path / "main.conf"))
 
@@ -23,13 +23,13 @@
         "include part_conf",
     ],
 )
-def test_a_file_is_read_with_its_includes_units_and_defaults(tmp_path, text):
-    made = read(
+def test_a_file_is_read_with_includes_units_and_defaults(tmp_path, text):
+    values = read(
         tmp_path,
         text.replace("_", "."),
         part_conf="[state]\nfolder /var/lib/x\ngather 20ms\nlog-most 64MB\n",
     )
-    assert made["state"] == {
+    assert values["state"] == {
         "folder": "/var/lib/x",
         "gather": 20.0,
         "pending": 20_000,
@@ -39,12 +39,12 @@
     }
 
 
-def test_an_empty_file_switches_nothing_on(tmp_path):
+def test_an_empty_file_enables_nothing(tmp_path):
     assert read(tmp_path, "# nothing\n\n") == {}
 
 
 @pytest.mark.parametrize(
-    "text, at, expected",
+    "text, position, expected",
     [
         ("[stat]\n", "1:1", "did you mean 'state'?"),
         ("[state]\nfoldr /x\n", "2:1", "did you mean 'folder'?"),
@@ -65,12 +65,12 @@
         ("Folder /x\n", "1:", "cannot read"),
     ],
 )
-def test_an_error_names_its_place_and_what_was_expected(tmp_path, text, at, expected):
+def test_an_error_states_its_position_and_what_was_expected(tmp_path, text, position, expected):
     with pytest.raises(reader.OperatorFileError) as error:
         read(tmp_path, text)
     message = str(error.value)
     assert (
-        f"main.conf:{at}" in message
+        f"main.conf:{position}" in message
         and any(part in message for part in expected.split("|"))
         and "\n" not in message
     )
@@ -84,20 +84,20 @@
         ({"main": "include a.conf\n", "a": "include main.conf\n"}, "includes itself"),
     ],
 )
-def test_an_include_that_leads_nowhere_is_refused(tmp_path, files, expected):
+def test_a_missing_or_recursive_include_is_rejected(tmp_path, files, expected):
     for name, text in files.items():
         (tmp_path / f"{name}.conf").write_text(text)
     with pytest.raises(reader.OperatorFileError, match=expected):
         reader.read(str(tmp_path / "main.conf"))
 
 
-def test_a_file_that_is_not_text_is_refused_with_its_line(tmp_path):
+def test_a_file_that_is_not_utf_8_is_rejected_with_the_line(tmp_path):
     (tmp_path / "main.conf").write_bytes(b"[state]\n\xff\xfe\n")
     with pytest.raises(reader.OperatorFileError, match="main.conf:2:1: not UTF-8"):
         reader.read(str(tmp_path / "main.conf"))
 
 
-def test_the_example_file_is_valid_and_names_every_key():
+def test_the_example_file_is_valid_and_mentions_every_key():
     path = ROOT / "deploy" / "havendyke.conf.example"
     assert reader.read(str(path))["state"]["folder"]
     assert all(key.name in path.read_text() for key in schema.KEYS)
