--- a/havendyke/recovery/directory.py
+++ b/havendyke/recovery/directory.py
@@ -111,7 +111,7 @@
         assert self._log is not None, "the directory is not open for writing"
         first_serial = self._next_serial
         try:
-            data = self._frames([*map(encode, changes), END_MARKER])
+            data = self._encode_frames([*map(encode, changes), END_MARKER])
             self._write(self._log, data)
             self.disk.sync(self._log)
         except (OSError, records.RecordSizeError) as error:
@@ -131,7 +131,7 @@
         begin_marker: StoredRecord = (records.BEGIN, {"generation": generation})
         self._write_snapshot([begin_marker, *map(encode, snapshot(state)), END_MARKER])
         self._next_serial = 0
-        log_start = records.encode_header() + self._frames([begin_marker])
+        log_start = records.encode_header() + self._encode_frames([begin_marker])
         log = self.disk.create(log_name(generation))
         try:
             self._write(log, log_start)
@@ -200,7 +200,7 @@
 
     def _write_snapshot(self, stored_records: Sequence[StoredRecord]) -> None:
         self._next_serial = 0
-        data = records.encode_header() + self._frames(stored_records)
+        data = records.encode_header() + self._encode_frames(stored_records)
         handle = self.disk.create(UNFINISHED_SNAPSHOT_NAME)
         try:
             self._write(handle, data)
@@ -208,7 +208,7 @@
         finally:
             self.disk.close(handle)
 
-    def _frames(self, stored_records: Iterable[StoredRecord]) -> bytes:
+    def _encode_frames(self, stored_records: Iterable[StoredRecord]) -> bytes:
         frames = []
         for kind, fields in stored_records:
             frames.append(records.encode_frame(self._next_serial, kind, fields))
--- a/havendyke/recovery/durable_state.py
+++ b/havendyke/recovery/durable_state.py
@@ -296,13 +296,13 @@
         endpoint=received.endpoint,
         zone=received.zone_name,
         machine_kind=received.machine_kind_name,
-        cell=int(_bounded(received.entry.cell, -MAX_CELL, MAX_CELL)),
+        cell=int(_clamp(received.entry.cell, -MAX_CELL, MAX_CELL)),
         state=core.ServerState(received.entry.state),
         size=float(received.entry.size),
-        started_ms=float(_bounded(float(received.started_unix_ms), 0.0, MAX_NUMBER)),
-        list_version=int(_bounded(version, -1, MAX_NUMBER)),
+        started_ms=float(_clamp(float(received.started_unix_ms), 0.0, MAX_NUMBER)),
+        list_version=int(_clamp(version, -1, MAX_NUMBER)),
     )
 
 
-def _bounded(value: float, minimum: float, maximum: float) -> float:
+def _clamp(value: float, minimum: float, maximum: float) -> float:
     return min(max(value, minimum), maximum)
--- a/havendyke/recovery/state.py
+++ b/havendyke/recovery/state.py
@@ -14,7 +14,7 @@
 
 
 class EvidenceSource(StrEnum):
-    """What confirmed that a server exists, in ascending order of precedence.
+    """What confirmed that a server exists; `MAX_TRUST_BY_SOURCE` limits the trust in it.
 
     The values are stored on disk and printed by `havendyke state show`.
     """
--- a/havendyke/recovery/tracker.py
+++ b/havendyke/recovery/tracker.py
@@ -40,7 +40,7 @@
 ESTIMATE_DIGITS = 3  # decimal places
 
 
-class _Part(Enum):
+class _StatePart(Enum):
     """Parts of the state that are small enough to be compared as a whole."""
 
     EJECTED = auto()
@@ -75,7 +75,7 @@
         self._estimates_uptime_ms = -math.inf
         self._dirty_servers = set(state.servers)
         self._dirty_slices: set[Slice] = set()
-        self._dirty_parts = set(_Part)
+        self._dirty_parts = set(_StatePart)
 
     @property
     def assessments(self) -> list[ServerAssessment]:
@@ -126,7 +126,7 @@
                 demand = round(max(slice_.demand, 0.0), ESTIMATE_DIGITS)
                 estimates[slice_estimate_name(slice_.id)] = Estimate(demand, now)
         self._remove_stale_estimates()
-        self._dirty_parts.add(_Part.ESTIMATES)
+        self._dirty_parts.add(_StatePart.ESTIMATES)
 
     # Called for each commit
 
@@ -167,14 +167,14 @@
         return PersistedState(
             servers={uid: state.servers[uid] for uid in uids if uid in state.servers},
             tombstones={uid: state.tombstones[uid] for uid in uids if uid in state.tombstones},
-            ejected=state.ejected if _Part.EJECTED in parts else {},
+            ejected=state.ejected if _StatePart.EJECTED in parts else {},
             slices={
                 slice_id: state.slices[slice_id]
                 for slice_id in slice_ids
                 if slice_id in state.slices
             },
-            push=state.push if _Part.PUSH in parts else None,
-            estimates=state.estimates if _Part.ESTIMATES in parts else {},
+            push=state.push if _StatePart.PUSH in parts else None,
+            estimates=state.estimates if _StatePart.ESTIMATES in parts else {},
             list_version=state.list_version,
             last_alive=state.last_alive,
         )
@@ -236,7 +236,7 @@
         push = self.desired.push
         if push is not None and push.nonce == nonce:
             self.desired.push = PushProgress(nonce, push.acknowledgements + 1)
-            self._dirty_parts.add(_Part.PUSH)
+            self._dirty_parts.add(_StatePart.PUSH)
 
     def _record_order(self, order: core.Order) -> None:
         match order:
@@ -247,10 +247,10 @@
                     self.desired.ejected[order.server.id] = None
                 else:
                     self.desired.ejected.pop(order.server.id, None)
-                self._dirty_parts.add(_Part.EJECTED)
+                self._dirty_parts.add(_StatePart.EJECTED)
             case core.RequestAcknowledgement():
                 self.desired.push = PushProgress(order.nonce, 0)
-                self._dirty_parts.add(_Part.PUSH)
+                self._dirty_parts.add(_StatePart.PUSH)
 
     # Helpers
 
