--- a/fuzz/targets/xds.py
+++ b/fuzz/targets/xds.py
@@ -1,8 +1,20 @@
 """xDS streams: offers, refusals, stale answers, cuts and returns in any order; a forwarder that
 checks its references."""
 
-from havendyke.xds.resources import CLUSTER, ENDPOINTS, ORDER, ROUTES, Snapshot, resource
-from havendyke.xds.stream import Answered, Ask, BadRequest, Stream
+from havendyke.xds.resources import (
+    CLUSTER,
+    DEPENDENCY_ORDER,
+    ENDPOINTS,
+    ROUTES,
+    Snapshot,
+    make_resource,
+)
+from havendyke.xds.stream import (
+    DeltaRequest,
+    DeltaStream,
+    InvalidRequestError,
+    SnapshotAcknowledged,
+)
 
 from ..registry import hold, register
 
@@ -13,25 +25,25 @@
     """What it holds, by type and name; it refuses bodies that end with X."""
 
     def __init__(self):
-        self.held = {kind: {} for kind in ORDER}
+        self.held = {kind: {} for kind in DEPENDENCY_ORDER}
 
-    def apply(self, response) -> Ask:
-        if any(one.body.endswith(b"X") for one in response.put):
-            return Ask(response.kind, nonce=response.nonce, error="cannot use it")
-        for one in response.put:
-            before = self.held[response.kind].get(one.name)
+    def apply(self, response) -> DeltaRequest:
+        if any(one.body.endswith(b"X") for one in response.resources):
+            return DeltaRequest(response.resource_type, nonce=response.nonce, error="cannot use it")
+        for one in response.resources:
+            before = self.held[response.resource_type].get(one.name)
             hold(
                 before is None or before.version != one.version,
-                response.kind,
+                response.resource_type,
                 one.name,
                 "was told again",
             )
-            self.held[response.kind][one.name] = one
-        for name in response.drop:
-            self.held[response.kind].pop(name, None)
-        for kind in ORDER:
+            self.held[response.resource_type][one.name] = one
+        for name in response.removed:
+            self.held[response.resource_type].pop(name, None)
+        for kind in DEPENDENCY_ORDER:
             for one in self.held[kind].values():
-                for need in one.needs:
+                for need in one.references:
                     hold(
                         need[1] in self.held[need[0]],
                         kind,
@@ -40,17 +52,17 @@
                         need,
                         "which is not held",
                     )
-        return Ask(response.kind, nonce=response.nonce)
+        return DeltaRequest(response.resource_type, nonce=response.nonce)
 
     def begin(self, stream) -> list:
         return [
             r
-            for kind in ORDER
-            for r in stream.ask(
-                Ask(
+            for kind in DEPENDENCY_ORDER
+            for r in stream.handle_request(
+                DeltaRequest(
                     kind,
                     subscribe=("*",),
-                    holds={n: one.version for n, one in self.held[kind].items()},
+                    initial_versions={n: one.version for n, one in self.held[kind].items()},
                 )
             )
         ]
@@ -58,13 +70,13 @@
 
 def pair(name, body):
     return [
-        (CLUSTER, resource(name, b"c" + body)),
-        (ENDPOINTS, resource(name, b"e" + body, [(CLUSTER, name)])),
+        (CLUSTER, make_resource(name, b"c" + body)),
+        (ENDPOINTS, make_resource(name, b"e" + body, [(CLUSTER, name)])),
     ]
 
 
 def routes(names):
-    return ROUTES, resource("r", repr(names).encode(), [(CLUSTER, n) for n in names])
+    return ROUTES, make_resource("r", repr(names).encode(), [(CLUSTER, n) for n in names])
 
 
 @register(
@@ -82,12 +94,12 @@
 )
 def streams(data):
     now, mark, forwarder, serial = (
-        Snapshot().changed(1, pair("a", b"0") + [routes(["a"])]),
+        Snapshot().with_changes(1, pair("a", b"0") + [routes(["a"])]),
         1,
         Forwarder(),
         0,
     )
-    stream = Stream(now, most=8)
+    stream = DeltaStream(now, max_response_bytes=8)
     inbox = forwarder.begin(stream)
     for begin in range(0, len(data), 3):
         kind, a, b = data[begin : begin + 3].ljust(3, b"\0")
@@ -100,39 +112,42 @@
                 for k, n in enumerate(NAMES)
                 if b >> 4 + k & 1 and n not in names and now.get(CLUSTER, n)
             ]
-            now = now.changed(
+            now = now.with_changes(
                 mark,
                 [i for n in names for i in pair(n, body)] + [routes(names)],
                 [(t, n) for n in gone for t in (ENDPOINTS, CLUSTER)],
             )
-            inbox += stream.offer(now)
+            inbox += stream.update_snapshot(now)
         elif kind % 6 == 2:
-            stream = Stream(now, most=8)
+            stream = DeltaStream(now, max_response_bytes=8)
             inbox = forwarder.begin(stream)
         elif kind % 6 == 3:
             try:
                 hold(
-                    stream.ask(Ask(ORDER[a % 5], nonce=f"old{b}")) == [],
+                    stream.handle_request(DeltaRequest(DEPENDENCY_ORDER[a % 5], nonce=f"old{b}"))
+                    == [],
                     "a stale answer brought something",
                 )
-            except BadRequest:
+            except InvalidRequestError:
                 pass
         elif inbox:
-            inbox += stream.ask(forwarder.apply(inbox.pop(0)))
-        hold(stream.under_way() <= 5 * 64, "under way:", stream.under_way())
-    now = now.changed(mark + 1, [i for n in NAMES for i in pair(n, b"end")] + [routes(list(NAMES))])
-    inbox += stream.offer(now)
+            inbox += stream.handle_request(forwarder.apply(inbox.pop(0)))
+        hold(stream.unacknowledged_bytes() <= 5 * 64, "under way:", stream.unacknowledged_bytes())
+    now = now.with_changes(
+        mark + 1, [i for n in NAMES for i in pair(n, b"end")] + [routes(list(NAMES))]
+    )
+    inbox += stream.update_snapshot(now)
     for _ in range(400):
         if not inbox:
             break
-        inbox += stream.ask(forwarder.apply(inbox.pop(0)))
+        inbox += stream.handle_request(forwarder.apply(inbox.pop(0)))
     hold(not inbox, "it never comes to rest")
-    for kind in ORDER:
+    for kind in DEPENDENCY_ORDER:
         hold(
             {n: o.version for n, o in forwarder.held[kind].items()}
-            == {n: o.version for n, o in now.types[kind].items()},
+            == {n: o.version for n, o in now.by_type[kind].items()},
             kind,
             "is held as",
             sorted(forwarder.held[kind]),
         )
-    hold(Answered(mark + 1) in stream.told, "the last mark is not answered")
+    hold(SnapshotAcknowledged(mark + 1) in stream.events, "the last mark is not answered")
--- a/havendyke/xds/forwarders.py
+++ b/havendyke/xds/forwarders.py
@@ -2,16 +2,17 @@
 responses. No I/O.
 
 The same registry, the same decisions and rules as on the platform: a stream is a proxy that joined,
-an acknowledged mark is `Answered`, its end is `Parted`. What is told of a push goes to every
-stream; each keeps its own account, and one that refuses or stalls costs the others nothing."""
+an acknowledged mark is `SnapshotAcknowledged`, its end is `Parted`. What is told of a push goes to
+every stream; each keeps its own account, and one that refuses or stalls costs the others nothing.
+"""
 
 from dataclasses import dataclass, field
 
 from .. import interface as core
 from .resources import ENDPOINTS
-from .stream import Answered, Refused, Stream
+from .stream import DeltaStream, ResourcesRejected, SnapshotAcknowledged
 from .tables import Tables
-from .whole import WholeStream
+from .whole import SotwStream
 
 
 @dataclass(frozen=True)
@@ -62,7 +63,7 @@
         proxy = self.registry.proxy(self.numbers.setdefault(node, len(self.numbers)))
         for other in [k for k, j in self.joined.items() if j.proxy is proxy]:
             self.closed(other)  # its old stream is dead, though nobody said so
-        made = (WholeStream if whole else Stream)(self.tables.snapshot, self.options.most)
+        made = (SotwStream if whole else DeltaStream)(self.tables.snapshot, self.options.most)
         self.joined[key] = Joined(proxy, made)
         self.counts["joined"] += 1
         self.registry.pending_events.append(core.ProxyConnected(proxy, zone, rate, fresh))
@@ -75,8 +76,8 @@
     def asked(self, now: float, key, ask) -> tuple:
         """What a forwarder said: (responses to send, streams to close)."""
         one = self.joined[key]
-        one.since.pop(ask.kind, None)
-        return self.sent(now, key, one, one.stream.ask(ask))
+        one.since.pop(ask.resource_type, None)
+        return self.sent(now, key, one, one.stream.handle_request(ask))
 
     def began(self, now: float, key) -> tuple:
         one = self.joined[key]
@@ -84,24 +85,24 @@
 
     def sent(self, now, key, one, responses) -> tuple:
         for response in responses:
-            one.since.setdefault(response.kind, now)
+            one.since.setdefault(response.resource_type, now)
         return [(key, r) for r in responses], self.account(now, key, one)
 
     def account(self, now, key, one) -> list:
         """What the stream told becomes the controller's events; whether it has to go."""
-        told, why = list(one.stream.told), []
-        one.stream.told.clear()
+        told, why = list(one.stream.events), []
+        one.stream.events.clear()
         for event in told:
-            if type(event) is Answered:
+            if type(event) is SnapshotAcknowledged:
                 self.registry.pending_events.append(
                     core.PushAcknowledged(
-                        one.proxy, event.mark, now - self.marks.get(event.mark, now)
+                        one.proxy, event.push_nonce, now - self.marks.get(event.push_nonce, now)
                     )
                 )
-            elif type(event) is Refused:
+            elif type(event) is ResourcesRejected:
                 self.counts["refused"] += 1
                 one.refused = [*one.refused, event][-self.options.refusals :]
-                if event.kind == ENDPOINTS and set(event.names) & self.tables.out:
+                if event.resource_type == ENDPOINTS and set(event.names) & self.tables.out:
                     # It goes on sending to a server that drains, and there is no narrower way to
                     # say it: cut off, it comes back for what stands, or is no longer this
                     # controller's.
@@ -121,7 +122,7 @@
         }
         snapshot, out, close = self.tables.order(orders), [], []
         for key, one in self.joined.items():
-            responses, why = self.sent(now, key, one, one.stream.offer(snapshot))
+            responses, why = self.sent(now, key, one, one.stream.update_snapshot(snapshot))
             out, close = out + responses, close + why
         rest = [
             o
--- a/havendyke/xds/server.py
+++ b/havendyke/xds/server.py
@@ -9,7 +9,7 @@
 from .. import interface as core
 from . import wire
 from .forwarders import Forwarders
-from .stream import BadRequest
+from .stream import InvalidRequestError
 
 END = object()
 BEGUN = 1.0  # s after its first request by which a stream has asked for all types that it holds
@@ -112,7 +112,7 @@
         )
         try:
             while (response := await queue.get()) is not END:
-                if isinstance(response, BadRequest):
+                if isinstance(response, InvalidRequestError):
                     await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(response))
                 yield response_of(response)
         finally:
@@ -139,7 +139,7 @@
                 self.deliver(*self.forwarders.asked(self.now(), key, ask_of(told)))
                 self.soon()
             queue.put_nowait(END)
-        except BadRequest as error:
+        except InvalidRequestError as error:
             self.log("stream_refused", stream=key, field=str(error)[:200])
             queue.put_nowait(error)
         except (KeyError, grpc.RpcError):
--- a/havendyke/xds/stream.py
+++ b/havendyke/xds/stream.py
@@ -16,47 +16,47 @@
 
 from dataclasses import dataclass, field
 
-from .resources import ORDER, Snapshot
+from .resources import DEPENDENCY_ORDER, Snapshot
 
 WILDCARD = "*"
 
 
-class BadRequest(ValueError):
+class InvalidRequestError(ValueError):
     """The forwarder said what the protocol has no meaning for; its stream ends with this text."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class DeltaRequest:
     """A delta request: what it subscribes to and leaves, what it held when the stream began (by
     name, versions), and its answer to a response (`nonce`), refused where `error` says why."""
 
-    kind: str
+    resource_type: str
     subscribe: tuple = ()
     unsubscribe: tuple = ()
-    holds: dict | None = None
+    initial_versions: dict | None = None
     nonce: str = ""
     error: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Response:
-    kind: str
+class DeltaResponse:
+    resource_type: str
     nonce: str
-    put: tuple  # Resources
-    drop: tuple  # names
-    mark: int
+    resources: tuple  # Resources
+    removed: tuple  # names
+    push_nonce: int
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class SnapshotAcknowledged:
     """The forwarder holds all of a mark's resources that it asked for, but those it refused."""
 
-    mark: int
+    push_nonce: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
-    kind: str
+class ResourcesRejected:
+    resource_type: str
     names: tuple
     error: str
 
@@ -64,8 +64,8 @@
 @dataclass(slots=True)
 class Sent:
     nonce: str
-    put: dict  # Resource by name
-    drop: tuple
+    resources: dict  # Resource by name
+    removed: tuple
     size: int
 
 
@@ -77,7 +77,7 @@
     wildcard: bool = False
     names: set = field(default_factory=set)  # subscribed by name
     held: dict = field(default_factory=dict)
-    needs: dict = field(default_factory=dict)
+    references: dict = field(default_factory=dict)
     refused: dict = field(default_factory=dict)  # by name the version that was refused
     suspect: dict = field(
         default_factory=dict
@@ -87,36 +87,36 @@
     sent: Sent | None = None
 
 
-class Stream:
+class DeltaStream:
     """`most` bytes of a response's resources; a larger difference goes in several, one after the
     other is answered."""
 
-    def __init__(self, snapshot: Snapshot, most: int = 1 << 20):
-        self.snapshot, self.most, self.serial = snapshot, most, 0
-        self.kinds, self.told, self.answered = {kind: Kind() for kind in ORDER}, [], 0
+    def __init__(self, snapshot: Snapshot, max_response_bytes: int = 1 << 20):
+        self.snapshot, self.max_response_bytes, self.serial = snapshot, max_response_bytes, 0
+        self.kinds, self.events, self.answered = {kind: Kind() for kind in DEPENDENCY_ORDER}, [], 0
         self.begun = False  # all types that it will ask for at once have been asked for
         self.counts = {"responses": 0, "acks": 0, "nacks": 0, "stale": 0}
 
     # What comes in
 
-    def ask(self, ask: Ask) -> list:
-        if ask.kind not in self.kinds:
-            raise BadRequest(f"type '{ask.kind[:60]}' is not served")
-        kind = self.kinds[ask.kind]
+    def handle_request(self, ask: DeltaRequest) -> list:
+        if ask.resource_type not in self.kinds:
+            raise InvalidRequestError(f"type '{ask.resource_type[:60]}' is not served")
+        kind = self.kinds[ask.resource_type]
         if ask.nonce:
             self.answer(ask, kind)
         elif ask.error is not None:
-            raise BadRequest("an error without a nonce")
-        if ask.holds is not None:
+            raise InvalidRequestError("an error without a nonce")
+        if ask.initial_versions is not None:
             if kind.asked:
-                raise BadRequest("versions held are for the first request of a type")
-            kind.held = dict(ask.holds)
+                raise InvalidRequestError("versions held are for the first request of a type")
+            kind.held = dict(ask.initial_versions)
             # What a version of before refers to only that one could tell; of the present one it is
             # known.
-            for name, version in ask.holds.items():
-                one = self.snapshot.get(ask.kind, name)
+            for name, version in ask.initial_versions.items():
+                one = self.snapshot.get(ask.resource_type, name)
                 if one is not None and one.version == version:
-                    kind.needs[name] = one.needs
+                    kind.references[name] = one.references
         first, kind.asked = not kind.asked, True
         if first and not ask.subscribe and not ask.nonce:
             kind.wildcard = True  # of old, a first request that names nothing asks for all
@@ -144,32 +144,36 @@
         sent, kind.sent = kind.sent, None
         if ask.error is not None:
             self.counts["nacks"] += 1
-            if sent.drop:
+            if sent.removed:
                 # A removal is no content to refuse: it has been told, and is not taken for holding
                 # it any longer.
-                self.dropped(kind, sent.drop)
-            versions = {name: one.version for name, one in sent.put.items()}
+                self.dropped(kind, sent.removed)
+            versions = {name: one.version for name, one in sent.resources.items()}
             if len(versions) > 1:
                 # Which of them it cannot use it does not say; the good ones must not be held back.
                 kind.suspect |= versions
                 return
             kind.refused |= versions
-            self.told.append(
-                Refused(ask.kind, tuple(sorted(sent.put) or sent.drop), ask.error[:300])
+            self.events.append(
+                ResourcesRejected(
+                    ask.resource_type,
+                    tuple(sorted(sent.resources) or sent.removed),
+                    ask.error[:300],
+                )
             )
             return
         self.counts["acks"] += 1
-        for name, one in sent.put.items():
-            kind.held[name], kind.needs[name] = one.version, one.needs
+        for name, one in sent.resources.items():
+            kind.held[name], kind.references[name] = one.version, one.references
             kind.refused.pop(name, None)
             kind.suspect.pop(name, None)
-        self.dropped(kind, sent.drop)
+        self.dropped(kind, sent.removed)
 
     @staticmethod
     def dropped(kind, names):
         for name in names:
             kind.held.pop(name, None)
-            kind.needs.pop(name, None)
+            kind.references.pop(name, None)
             kind.refused.pop(name, None)
             kind.suspect.pop(name, None)
 
@@ -179,12 +183,12 @@
         if not kind.wildcard:
             for name in [n for n in kind.held if n not in kind.names]:
                 kind.held.pop(name)
-                kind.needs.pop(name, None)
+                kind.references.pop(name, None)
             for told in (kind.refused, kind.suspect):
                 for name in [n for n in told if n not in kind.names]:
                     del told[name]
 
-    def offer(self, snapshot: Snapshot) -> list:
+    def update_snapshot(self, snapshot: Snapshot) -> list:
         self.snapshot = snapshot
         return self.flow()
 
@@ -199,28 +203,28 @@
     def flow(self) -> list:
         """The one place where the difference between wanted and held becomes responses."""
         made = []
-        for kind in ORDER:
+        for kind in DEPENDENCY_ORDER:
             if response := self.additions(kind):
                 made.append(response)
-        for kind in reversed(ORDER):
+        for kind in reversed(DEPENDENCY_ORDER):
             if response := self.removals(kind):
                 made.append(response)
         if (
             not made
             and all(k.sent is None for k in self.kinds.values())
-            and self.snapshot.mark != self.answered
+            and self.snapshot.push_nonce != self.answered
             and any(k.asked for k in self.kinds.values())
         ):
-            self.answered = self.snapshot.mark
-            self.told.append(Answered(self.answered))
+            self.answered = self.snapshot.push_nonce
+            self.events.append(SnapshotAcknowledged(self.answered))
         return made
 
     def wanted(self, kind: Kind, name: str):
         """The names it asks for that are there."""
-        there = self.snapshot.types[name]
+        there = self.snapshot.by_type[name]
         return there.keys() if kind.wildcard else [n for n in sorted(kind.names) if n in there]
 
-    def additions(self, name) -> Response | None:
+    def additions(self, name) -> DeltaResponse | None:
         kind = self.kinds[name]
         if not kind.asked or kind.sent is not None:
             return None
@@ -236,7 +240,7 @@
             if kind.suspect.get(n) == one.version:
                 alone = alone or one
                 continue
-            if put and size + len(one.body) > self.most:
+            if put and size + len(one.body) > self.max_response_bytes:
                 break
             put[n], size = one, size + len(one.body)
         if not put and alone is not None:
@@ -244,7 +248,7 @@
         absent = tuple(
             n
             for n in sorted(kind.names)
-            if n not in self.snapshot.types[name] and n not in kind.absent and n not in kind.held
+            if n not in self.snapshot.by_type[name] and n not in kind.absent and n not in kind.held
         )
         kind.absent.update(absent)
         return self.send(name, put, absent, size) if put or absent else None
@@ -255,44 +259,48 @@
         return all(
             not self.kinds[k].asked
             or n in self.kinds[k].held
-            and not (self.kinds[k].sent and n in self.kinds[k].sent.drop)
-            for k, n in one.needs
+            and not (self.kinds[k].sent and n in self.kinds[k].sent.removed)
+            for k, n in one.references
         )
 
-    def removals(self, name) -> Response | None:
+    def removals(self, name) -> DeltaResponse | None:
         kind = self.kinds[name]
         if not kind.asked or kind.sent is not None:
             return None
-        later = [self.kinds[k] for k in ORDER[ORDER.index(name) + 1 :]]
+        later = [self.kinds[k] for k in DEPENDENCY_ORDER[DEPENDENCY_ORDER.index(name) + 1 :]]
         # After a return it may hold what refers to anything, told or not yet: that is renewed or
         # removed first.
         if (
-            any(n not in k.needs for k in later for n in k.held)
+            any(n not in k.references for k in later for n in k.held)
             or not self.begun
             and not all(k.asked for k in later)
         ):
             return None
-        used = {need for k in self.kinds.values() for needs in k.needs.values() for need in needs}
+        used = {
+            need for k in self.kinds.values() for needs in k.references.values() for need in needs
+        }
         used |= {
             need
             for k in self.kinds.values()
             if k.sent
-            for one in k.sent.put.values()
-            for need in one.needs
+            for one in k.sent.resources.values()
+            for need in one.references
         }
         drop = tuple(
             n
             for n in sorted(kind.held)
-            if n not in self.snapshot.types[name] and (name, n) not in used
+            if n not in self.snapshot.by_type[name] and (name, n) not in used
         )
         return self.send(name, {}, drop, 0) if drop else None
 
-    def send(self, name, put, drop, size) -> Response:
+    def send(self, name, put, drop, size) -> DeltaResponse:
         self.serial += 1
         self.counts["responses"] += 1
         self.kinds[name].sent = Sent(f"{self.serial:x}", put, drop, size)
-        return Response(name, f"{self.serial:x}", tuple(put.values()), drop, self.snapshot.mark)
+        return DeltaResponse(
+            name, f"{self.serial:x}", tuple(put.values()), drop, self.snapshot.push_nonce
+        )
 
-    def under_way(self) -> int:
+    def unacknowledged_bytes(self) -> int:
         """Bytes that wait for an answer: what a reader that stalls costs."""
         return sum(k.sent.size for k in self.kinds.values() if k.sent)
--- a/havendyke/xds/tables.py
+++ b/havendyke/xds/tables.py
@@ -9,7 +9,7 @@
 import orjson
 
 from .. import interface as core
-from .resources import CLUSTER, ENDPOINTS, HOSTS, Snapshot, resource
+from .resources import CLUSTER, ENDPOINTS, VIRTUAL_HOSTS, Snapshot, make_resource
 
 SORTED = orjson.OPT_SORT_KEYS
 
@@ -28,7 +28,7 @@
         lines = {uid: w for uid, w in self.lines.get(piece, {}).items() if w > 0}
         total = sum(lines.values())
         body = {uid: max(1, round(1000 * w / total)) for uid, w in lines.items()}
-        return HOSTS, resource(
+        return VIRTUAL_HOSTS, make_resource(
             f"slice/{piece}",
             orjson.dumps(body, option=SORTED),
             [(CLUSTER, uid) for uid in sorted(body)],
@@ -39,10 +39,10 @@
         out of tables."""
         health = "draining" if uid in self.out else "healthy"
         return [
-            (CLUSTER, resource(uid, b"cluster")),
+            (CLUSTER, make_resource(uid, b"cluster")),
             (
                 ENDPOINTS,
-                resource(uid, orjson.dumps([self.addresses(uid), health]), [(CLUSTER, uid)]),
+                make_resource(uid, orjson.dumps([self.addresses(uid), health]), [(CLUSTER, uid)]),
             ),
         ]
 
@@ -55,7 +55,7 @@
 
     def order(self, orders: list) -> Snapshot:
         """The snapshot that a turn's orders make; its mark is theirs, or the last one's."""
-        pieces, servers, mark = set(), set(), self.snapshot.mark
+        pieces, servers, mark = set(), set(), self.snapshot.push_nonce
         for o in orders:
             match o:
                 case core.SetEndpointWeight():
@@ -83,5 +83,5 @@
         ]
         put += [self.host(piece) for piece in sorted(pieces)]
         drop = [(kind, uid) for uid in sorted(there - used) for kind in (ENDPOINTS, CLUSTER)]
-        self.snapshot = self.snapshot.changed(mark, put, drop)
+        self.snapshot = self.snapshot.with_changes(mark, put, drop)
         return self.snapshot
--- a/havendyke/xds/whole.py
+++ b/havendyke/xds/whole.py
@@ -9,16 +9,16 @@
 
 import xxhash
 
-from .resources import ORDER, Snapshot
-from .stream import WILDCARD, Ask, BadRequest, Response, Stream
+from .resources import DEPENDENCY_ORDER, Snapshot
+from .stream import WILDCARD, DeltaRequest, DeltaResponse, DeltaStream, InvalidRequestError
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class SotwRequest:
     """`version`: of the last response that was accepted, empty at first; `names` empty: all there
     are."""
 
-    kind: str
+    resource_type: str
     version: str = ""
     names: tuple = ()
     nonce: str = ""
@@ -26,12 +26,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class All:
-    kind: str
+class SotwResponse:
+    resource_type: str
     version: str
     nonce: str
     resources: tuple
-    mark: int
+    push_nonce: int
 
 
 def version_of(resources: dict) -> str:
@@ -49,25 +49,33 @@
     names: tuple | None = None
 
 
-class WholeStream:
-    """The same calls as `Stream`: `ask`, `offer`, `begin`; responses are `All`."""
+class SotwStream:
+    """The same calls as `DeltaStream`: `handle_request`, `update_snapshot`, `begin`;
+    responses are `SotwResponse`."""
 
-    def __init__(self, snapshot: Snapshot, most: int = 1 << 20):
-        self.stream, self.kinds = Stream(snapshot, most), {kind: Accepted() for kind in ORDER}
+    def __init__(self, snapshot: Snapshot, max_response_bytes: int = 1 << 20):
+        self.stream, self.kinds = (
+            DeltaStream(snapshot, max_response_bytes),
+            {kind: Accepted() for kind in DEPENDENCY_ORDER},
+        )
 
     @property
-    def told(self) -> list:
-        return self.stream.told
+    def events(self) -> list:
+        return self.stream.events
 
-    def ask(self, request: Request) -> list:
-        if request.kind not in self.kinds:
-            raise BadRequest(f"type '{request.kind[:60]}' is not served")
-        kind = self.kinds[request.kind]
+    def handle_request(self, request: SotwRequest) -> list:
+        if request.resource_type not in self.kinds:
+            raise InvalidRequestError(f"type '{request.resource_type[:60]}' is not served")
+        kind = self.kinds[request.resource_type]
         if request.nonce and request.nonce != kind.nonce:
             # It speaks of a response that another has overtaken; what it subscribes to holds all
             # the same.
             self.stream.counts["stale"] += 1
-            return self.told_of(self.stream.ask(Ask(request.kind, *self.change(kind, request))))
+            return self.told_of(
+                self.stream.handle_request(
+                    DeltaRequest(request.resource_type, *self.change(kind, request))
+                )
+            )
         first = kind.names is None
         subscribe, unsubscribe = self.change(kind, request)
         answer = {"nonce": request.nonce, "error": request.error} if request.nonce else {}
@@ -84,12 +92,14 @@
                 kind.resources = kind.offered = there
                 holds = {name: one.version for name, one in there.items()}
         made = self.told_of(
-            self.stream.ask(Ask(request.kind, subscribe, unsubscribe, holds, **answer))
+            self.stream.handle_request(
+                DeltaRequest(request.resource_type, subscribe, unsubscribe, holds, **answer)
+            )
         )
         return made
 
     def there(self, request) -> dict:
-        all_of = self.stream.snapshot.types[request.kind]
+        all_of = self.stream.snapshot.by_type[request.resource_type]
         return {n: all_of[n] for n in (request.names or all_of) if n in all_of}
 
     @staticmethod
@@ -103,8 +113,8 @@
             kind.resources = {n: one for n, one in kind.resources.items() if n != name}
         return tuple(n for n in names if n not in before), gone
 
-    def offer(self, snapshot: Snapshot) -> list:
-        return self.told_of(self.stream.offer(snapshot))
+    def update_snapshot(self, snapshot: Snapshot) -> list:
+        return self.told_of(self.stream.update_snapshot(snapshot))
 
     def begin(self) -> list:
         return self.told_of(self.stream.begin())
@@ -112,20 +122,20 @@
     def told_of(self, responses: list) -> list:
         made = []
         for r in responses:
-            kind = self.kinds[r.kind]
-            kind.offered = {n: one for n, one in kind.resources.items() if n not in r.drop} | {
-                one.name: one for one in r.put
+            kind = self.kinds[r.resource_type]
+            kind.offered = {n: one for n, one in kind.resources.items() if n not in r.removed} | {
+                one.name: one for one in r.resources
             }
             kind.nonce = r.nonce
             made.append(self.all_of(r, kind))
         return made
 
     @staticmethod
-    def all_of(response: Response, kind: Accepted) -> All:
-        return All(
-            response.kind,
+    def all_of(response: DeltaResponse, kind: Accepted) -> SotwResponse:
+        return SotwResponse(
+            response.resource_type,
             version_of(kind.offered),
             response.nonce,
             tuple(kind.offered[n] for n in sorted(kind.offered)),
-            response.mark,
+            response.push_nonce,
         )
--- a/havendyke/xds/wire.py
+++ b/havendyke/xds/wire.py
@@ -8,9 +8,9 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf import any_pb2
 
-from .resources import CLUSTER, ENDPOINTS, HOSTS, LISTENER, ROUTES, Resource
-from .stream import Ask, BadRequest, Response
-from .whole import All, Request
+from .resources import CLUSTER, ENDPOINTS, LISTENER, ROUTES, VIRTUAL_HOSTS, Resource
+from .stream import DeltaRequest, DeltaResponse, InvalidRequestError
+from .whole import SotwRequest, SotwResponse
 
 PREFIX = "type.googleapis.com/"
 URLS = {
@@ -18,7 +18,7 @@
     ENDPOINTS: "envoy.config.endpoint.v3.ClusterLoadAssignment",
     LISTENER: "envoy.config.listener.v3.Listener",
     ROUTES: "envoy.config.route.v3.RouteConfiguration",
-    HOSTS: "envoy.config.route.v3.VirtualHost",
+    VIRTUAL_HOSTS: "envoy.config.route.v3.VirtualHost",
 }
 KINDS = {PREFIX + url: kind for kind, url in URLS.items()}
 HEALTH = {"healthy": health_check_pb2.HEALTHY, "draining": health_check_pb2.DRAINING}
@@ -53,7 +53,7 @@
     return made
 
 
-FORMS = {CLUSTER: cluster, ENDPOINTS: endpoints, HOSTS: host}
+FORMS = {CLUSTER: cluster, ENDPOINTS: endpoints, VIRTUAL_HOSTS: host}
 
 
 def packed(kind: str, one: Resource) -> any_pb2.Any:
@@ -64,25 +64,25 @@
 
 def kind_of(url: str) -> str:
     if url not in KINDS:
-        raise BadRequest(f"type '{url[:80]}' is not served")
+        raise InvalidRequestError(f"type '{url[:80]}' is not served")
     return KINDS[url]
 
 
 def names(told, what: str) -> tuple:
     made = tuple(told)
     if len(made) > NAMES:
-        raise BadRequest(f"{len(made)} {what} in one request")
+        raise InvalidRequestError(f"{len(made)} {what} in one request")
     for name in made:
         if len(name) > NAME or not name:
-            raise BadRequest(f"one of the {what} has {len(name)} characters")
+            raise InvalidRequestError(f"one of the {what} has {len(name)} characters")
     return made
 
 
-def delta_ask(told) -> Ask:
+def delta_ask(told) -> DeltaRequest:
     """A DeltaDiscoveryRequest."""
     holds = dict(told.initial_resource_versions)
     names(holds, "initial_resource_versions")
-    return Ask(
+    return DeltaRequest(
         kind_of(told.type_url),
         names(told.resource_names_subscribe, "resource_names_subscribe"),
         names(told.resource_names_unsubscribe, "resource_names_unsubscribe"),
@@ -92,9 +92,9 @@
     )
 
 
-def whole_ask(told) -> Request:
+def whole_ask(told) -> SotwRequest:
     """A DiscoveryRequest."""
-    return Request(
+    return SotwRequest(
         kind_of(told.type_url),
         told.version_info,
         names(told.resource_names, "resource_names"),
@@ -103,26 +103,26 @@
     )
 
 
-def delta_response(told: Response):
+def delta_response(told: DeltaResponse):
     made = discovery_pb2.DeltaDiscoveryResponse(
-        type_url=PREFIX + URLS[told.kind],
+        type_url=PREFIX + URLS[told.resource_type],
         nonce=told.nonce,
-        system_version_info=str(told.mark),
-        removed_resources=list(told.drop),
+        system_version_info=str(told.push_nonce),
+        removed_resources=list(told.removed),
     )
-    for one in told.put:
+    for one in told.resources:
         made.resources.add(name=one.name, version=one.version).resource.CopyFrom(
-            packed(told.kind, one)
+            packed(told.resource_type, one)
         )
     return made
 
 
-def whole_response(told: All):
+def whole_response(told: SotwResponse):
     return discovery_pb2.DiscoveryResponse(
-        type_url=PREFIX + URLS[told.kind],
+        type_url=PREFIX + URLS[told.resource_type],
         nonce=told.nonce,
         version_info=told.version,
-        resources=[packed(told.kind, one) for one in told.resources],
+        resources=[packed(told.resource_type, one) for one in told.resources],
     )
 
 
@@ -130,10 +130,10 @@
     """(id, zone's name, operations a second) of a request's node; the rate is rough, 1 where none
     is told."""
     if not told.node.id or len(told.node.id) > NAME:
-        raise BadRequest("the first request of a stream must name its node")
+        raise InvalidRequestError("the first request of a stream must name its node")
     rate = 1.0
     if "rate" in told.node.metadata.fields:
         rate = told.node.metadata.fields["rate"].number_value
         if not 0.0 < rate <= 1e6:
-            raise BadRequest(f"the node's rate is {rate}")
+            raise InvalidRequestError(f"the node's rate is {rate}")
     return told.node.id, told.node.locality.zone, rate
--- a/tests/xds/test_forwarders.py
+++ b/tests/xds/test_forwarders.py
@@ -9,8 +9,8 @@
 from havendyke import interface as core
 from havendyke.registry import ObjectRegistry
 from havendyke.xds.forwarders import Forwarders, Options
-from havendyke.xds.resources import CLUSTER, ENDPOINTS, HOSTS, ORDER
-from havendyke.xds.stream import Ask
+from havendyke.xds.resources import CLUSTER, DEPENDENCY_ORDER, ENDPOINTS, VIRTUAL_HOSTS
+from havendyke.xds.stream import DeltaRequest
 
 
 class Scene:
@@ -63,10 +63,14 @@
     def join(self, key, forwarder):
         self.front.opened(key, f"node-{key}", 0, 5.0)
         self.peers[key] = forwarder
-        for kind in ORDER:
+        for kind in DEPENDENCY_ORDER:
             self.deliver(
                 self.front.asked(
-                    self.now, key, Ask(kind, subscribe=("*",), holds=dict(forwarder.versions[kind]))
+                    self.now,
+                    key,
+                    DeltaRequest(
+                        kind, subscribe=("*",), initial_versions=dict(forwarder.versions[kind])
+                    ),
                 )
             )
 
@@ -99,14 +103,16 @@
         """The servers that a forwarder would send to, over all slices."""
         held = self.peers[key].held
         healthy = {n for n, r in held[ENDPOINTS].items() if b"healthy" in r.body}
-        return {n for r in held[HOSTS].values() for n in orjson.loads(r.body) if n in healthy}
+        return {
+            n for r in held[VIRTUAL_HOSTS].values() for n in orjson.loads(r.body) if n in healthy
+        }
 
 
 def test_joined_forwarders_hold_a_line_for_every_slice_and_answer_marks():
     s = Scene()
     s.go(8000)
     controller = ControllerHarness.wrap(s.registry.controller)
-    assert all(len(p.held[HOSTS]) == 10 for p in s.peers.values()) and not s.closed
+    assert all(len(p.held[VIRTUAL_HOSTS]) == 10 for p in s.peers.values()) and not s.closed
     acknowledged = {controller.acknowledged_push(proxy) for proxy in controller.proxies}
     assert acknowledged == {controller.push_count} and controller.push_count > 0
     for number, slice_ in s.registry.slices.items():
@@ -121,7 +127,7 @@
     s.go(1500)
     assert all("s1" not in s.picks(key) for key in s.peers)
     for p in s.peers.values():
-        assert all(set(orjson.loads(r.body)) - {"s1"} for r in p.held[HOSTS].values())
+        assert all(set(orjson.loads(r.body)) - {"s1"} for r in p.held[VIRTUAL_HOSTS].values())
 
 
 def test_a_forwarder_that_refuses_a_drain_is_cut_off_and_holds_nobody_back():
@@ -158,7 +164,7 @@
     s.go(2000)
     s.front.opened(key, "node-f0", 0, 5.0)
     s.peers[key] = Forwarder()
-    for kind in ORDER:
-        s.deliver(s.front.asked(s.now, key, Ask(kind, subscribe=("*",))))
+    for kind in DEPENDENCY_ORDER:
+        s.deliver(s.front.asked(s.now, key, DeltaRequest(kind, subscribe=("*",))))
     s.go(3000)
     assert len(s.registry.proxies) == 1 and s.is_connected(0) and list(s.front.joined) == [key]
--- a/tests/xds/test_server.py
+++ b/tests/xds/test_server.py
@@ -13,7 +13,7 @@
 from havendyke.registry import ObjectRegistry
 from havendyke.xds import wire
 from havendyke.xds.forwarders import Forwarders
-from havendyke.xds.resources import CLUSTER, ENDPOINTS, HOSTS
+from havendyke.xds.resources import CLUSTER, ENDPOINTS, VIRTUAL_HOSTS
 from havendyke.xds.server import Server, serve
 
 URL = {kind: wire.PREFIX + url for kind, url in wire.URLS.items()}
@@ -66,7 +66,10 @@
 
     def __init__(self, world, node="n1", holds=None):
         self.call, self.node = world.stub.DeltaAggregatedResources(), node
-        self.held, self.ledger = holds or {kind: {} for kind in (CLUSTER, ENDPOINTS, HOSTS)}, []
+        self.held, self.ledger = (
+            holds or {kind: {} for kind in (CLUSTER, ENDPOINTS, VIRTUAL_HOSTS)},
+            [],
+        )
 
     def request(self, kind, **more):
         made = discovery_pb2.DeltaDiscoveryRequest(type_url=URL[kind], **more)
@@ -120,9 +123,11 @@
         client = Delta(world)
         await client.start()
         await client.read()
-        assert len(client.held[HOSTS]) == 10 and len(client.ledger) == len(set(client.ledger))
+        assert len(client.held[VIRTUAL_HOSTS]) == 10 and len(client.ledger) == len(
+            set(client.ledger)
+        )
         one = route_components_pb2.VirtualHost()
-        assert client.held[HOSTS]["slice/3"][1].Unpack(one) and "s3" in {
+        assert client.held[VIRTUAL_HOSTS]["slice/3"][1].Unpack(one) and "s3" in {
             c.name for c in one.routes[0].route.weighted_clusters.clusters
         }
         (proxy,) = world.registry.proxies.values()
@@ -180,9 +185,9 @@
         await bad.start()
         await asyncio.gather(good.read(), bad.read(refuses=lambda r: r.name == "slice/3"))
         assert (
-            "slice/3" not in bad.held[HOSTS]
-            and len(bad.held[HOSTS]) == 9
-            and len(good.held[HOSTS]) == 10
+            "slice/3" not in bad.held[VIRTUAL_HOSTS]
+            and len(bad.held[VIRTUAL_HOSTS]) == 9
+            and len(good.held[VIRTUAL_HOSTS]) == 10
         )
         assert (
             held[URL[CLUSTER]][1] == len(good.held[CLUSTER])
--- a/tests/xds/test_tables.py
+++ b/tests/xds/test_tables.py
@@ -6,8 +6,8 @@
 
 from havendyke import interface as core
 from havendyke.registry import ObjectRegistry
-from havendyke.xds.resources import CLUSTER, ENDPOINTS, HOSTS
-from havendyke.xds.stream import Answered, Stream
+from havendyke.xds.resources import CLUSTER, ENDPOINTS, VIRTUAL_HOSTS
+from havendyke.xds.stream import DeltaStream, SnapshotAcknowledged
 from havendyke.xds.tables import Tables
 
 
@@ -18,13 +18,13 @@
     tables = Tables(lambda uid: f"127.0.0.9:{uid}")
     for k in range(pieces):
         tables.given(k, {"a" if k % 2 else "b": 1.0, "c": 0.02}, 0)
-    stream, forwarder = Stream(tables.snapshot), Forwarder()
+    stream, forwarder = DeltaStream(tables.snapshot), Forwarder()
     forwarder.start(stream)
     return registry, tables, stream, forwarder
 
 
 def held(forwarder, piece):
-    return orjson.loads(forwarder.held[HOSTS][f"slice/{piece}"].body)
+    return orjson.loads(forwarder.held[VIRTUAL_HOSTS][f"slice/{piece}"].body)
 
 
 def test_a_line_changes_one_host_and_a_withdrawal_one_endpoint():
@@ -32,7 +32,7 @@
     before = len(forwarder.ledger)
     forwarder.settle(
         stream,
-        stream.offer(
+        stream.update_snapshot(
             tables.order(
                 [
                     core.SetEndpointWeight(registry.slice(3), registry.server("b"), 1.0),
@@ -43,12 +43,12 @@
         ),
     )
     assert [(k, n) for k, n, _ in forwarder.ledger[before:]] == [
-        (HOSTS, "slice/3")
+        (VIRTUAL_HOSTS, "slice/3")
     ] and "a" not in held(forwarder, 3)
     before = len(forwarder.ledger)
     forwarder.settle(
         stream,
-        stream.offer(
+        stream.update_snapshot(
             tables.order(
                 [
                     core.SetEjection(registry.server("a"), True),
@@ -58,15 +58,19 @@
         ),
     )
     assert [(k, n) for k, n, _ in forwarder.ledger[before:]] == [(ENDPOINTS, "a")]
-    assert b"draining" in forwarder.held[ENDPOINTS]["a"].body and stream.told[-1] == Answered(6)
+    assert b"draining" in forwarder.held[ENDPOINTS]["a"].body and stream.events[
+        -1
+    ] == SnapshotAcknowledged(6)
 
 
 def test_a_server_that_no_table_names_goes_once_the_tables_are_acknowledged():
     registry, tables, stream, forwarder = scene(2)
     moved = [core.SetEndpointWeight(registry.slice(k), registry.server("d"), 1.0) for k in range(2)]
     gone = [core.SetEndpointWeight(registry.slice(1), registry.server("a"), 0.0)]
-    out = stream.offer(tables.order([*moved, *gone, core.RequestAcknowledgement(9, False)]))
-    assert not any("a" in r.drop and r.kind == CLUSTER for r in out)
+    out = stream.update_snapshot(
+        tables.order([*moved, *gone, core.RequestAcknowledgement(9, False)])
+    )
+    assert not any("a" in r.removed and r.resource_type == CLUSTER for r in out)
     forwarder.settle(stream, out)
     assert (
         "a" not in forwarder.held[CLUSTER]
@@ -79,7 +83,7 @@
     registry, tables, stream, forwarder = scene(2)
     forwarder.settle(
         stream,
-        stream.offer(
+        stream.update_snapshot(
             tables.order(
                 [
                     core.SetEndpointWeight(registry.slice(0), registry.server("c"), 1e-6),
@@ -91,10 +95,10 @@
     assert held(forwarder, 0)["c"] == 1
     forwarder.settle(
         stream,
-        stream.offer(
+        stream.update_snapshot(
             tables.order(
                 [core.ClearTable(registry.slice(0)), core.RequestAcknowledgement(2, False)]
             )
         ),
     )
-    assert held(forwarder, 0) == {} and stream.told[-1] == Answered(2)
+    assert held(forwarder, 0) == {} and stream.events[-1] == SnapshotAcknowledged(2)
