--- a/havendyke/xds/__init__.py
+++ b/havendyke/xds/__init__.py
@@ -1,2 +1,5 @@
-"""xDS streams: versions, acknowledgements, on demand; state machines without I/O. Off until a front
-is put round them."""
+"""Serves routing tables to proxies over xDS: versions, acknowledgements, subscriptions on demand.
+
+The protocol's state machines do no I/O. The service does not use this package until an adapter
+runs `server`.
+"""
--- a/havendyke/xds/resources.py
+++ b/havendyke/xds/resources.py
@@ -1,11 +1,12 @@
-"""What a controller offers to forwarders that speak xDS: named resources by type, versions by
-content.
+"""Named resources by type, as a controller offers them to xDS clients, versioned by content.
 
-A snapshot is a persistent map, so that the next one shares what did not change and a difference
-costs by what did. A version is a hash of the content: another assigner, with another history, gives
-the same resource the same version, and a stream that comes back from there is told the difference
-only."""
+A snapshot is a persistent map: the next one shares what did not change, and the cost of a
+difference depends on the number of changes only. A version is a hash of the content: another
+assigner, with another history, gives the same resource the same version, and a stream that
+reconnects there receives only the difference.
+"""
 
+from collections.abc import Iterable
 from dataclasses import dataclass
 
 import xxhash
@@ -18,78 +19,100 @@
     "routes",
     "hosts",
 )
-# What refers to another type comes after it: an addition goes out in this order, a removal in the
-# other.
+# A type comes after the types it refers to: resources are added in this order and removed in the
+# reverse order.
 DEPENDENCY_ORDER = (CLUSTER, ENDPOINTS, LISTENER, ROUTES, VIRTUAL_HOSTS)
 
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """`body` is what goes on the wire, opaque here; `needs` names the resources it refers to,
-    (type, name)."""
+    """A resource; `body` is opaque here, `references` are the (type, name) it refers to."""
 
     name: str
     body: bytes
-    references: tuple = ()
+    references: tuple[tuple[str, str], ...] = ()
     version: str = ""
 
 
-def make_resource(name: str, body: bytes, needs=()) -> Resource:
-    return Resource(name, body, tuple(needs), xxhash.xxh64_hexdigest(body))
+def make_resource(name: str, body: bytes, references: Iterable[tuple[str, str]] = ()) -> Resource:
+    """Returns a resource whose version is the hash of its body."""
+    return Resource(name, body, tuple(references), xxhash.xxh64_hexdigest(body))
 
 
 class DanglingReferenceError(ValueError):
-    """A resource refers to one that is not there."""
+    """A resource refers to one that does not exist."""
 
 
 class Snapshot:
-    """All resources at a time; `mark` is the push that made it, for the controller's account."""
+    """All resources at one time; `push_nonce` names the controller's push that it results from."""
 
     __slots__ = ("by_type", "push_nonce")
 
-    def __init__(self, types: Map = None, mark: int = 0):
-        self.by_type, self.push_nonce = (
-            types if types is not None else Map({t: Map() for t in DEPENDENCY_ORDER}),
-            mark,
+    def __init__(
+        self, by_type: Map[str, Map[str, Resource]] | None = None, push_nonce: int = 0
+    ) -> None:
+        self.by_type: Map[str, Map[str, Resource]] = (
+            by_type if by_type is not None else Map({t: Map() for t in DEPENDENCY_ORDER})
         )
-
-    def get(self, kind: str, name: str) -> Resource | None:
-        return self.by_type[kind].get(name)
-
-    def names(self, kind: str):
-        return self.by_type[kind].keys()
-
-    def with_changes(self, mark: int, put=(), drop=()) -> "Snapshot":
-        """The next snapshot: `put` are (type, Resource), `drop` (type, name). What nothing changes
-        is shared. DanglingReferenceError where one of the put refers to nothing, or something still
-        refers to what is dropped and put in nobody's place."""
-        types = self.by_type
-        for kind, name in drop:
-            types = types.set(
-                kind, types[kind].delete(name) if name in types[kind] else types[kind]
+        self.push_nonce = push_nonce
+
+    def get(self, resource_type: str, name: str) -> Resource | None:
+        """Returns the resource, or None if it does not exist."""
+        return self.by_type[resource_type].get(name)
+
+    def names(self, resource_type: str) -> Iterable[str]:
+        """Returns the names of all resources of a type."""
+        return self.by_type[resource_type].keys()
+
+    def with_changes(
+        self,
+        push_nonce: int,
+        updated: Iterable[tuple[str, Resource]] = (),
+        removed: Iterable[tuple[str, str]] = (),
+    ) -> "Snapshot":
+        """Returns the next snapshot, which shares all unchanged resources with this one.
+
+        `updated` has (type, resource), `removed` has (type, name). Raises DanglingReferenceError
+        if an updated resource refers to one that does not exist, or if a removed resource that is
+        not also updated is still referred to.
+        """
+        by_type = self.by_type
+        for resource_type, name in removed:
+            by_type = by_type.set(
+                resource_type,
+                by_type[resource_type].delete(name)
+                if name in by_type[resource_type]
+                else by_type[resource_type],
             )
-        for kind, one in put:
-            before = types[kind].get(one.name)
+        for resource_type, resource in updated:
+            previous = by_type[resource_type].get(resource.name)
             if (
-                before is None
-                or before.version != one.version
-                or before.references != one.references
+                previous is None
+                or previous.version != resource.version
+                or previous.references != resource.references
             ):
-                types = types.set(kind, types[kind].set(one.name, one))
-        made = Snapshot(types, mark)
-        for kind, one in put:
-            made.whole(kind, one)
-        gone = {(kind, name) for kind, name in drop if name not in types[kind]}
-        if gone:
-            for kind in DEPENDENCY_ORDER:
-                for one in types[kind].values():
-                    if gone.intersection(one.references):
-                        made.whole(kind, one)
-        return made
-
-    def whole(self, kind, one):
-        for need in one.references:
-            if need[1] not in self.by_type[need[0]]:
+                by_type = by_type.set(
+                    resource_type, by_type[resource_type].set(resource.name, resource)
+                )
+        snapshot = Snapshot(by_type, push_nonce)
+        for resource_type, resource in updated:
+            snapshot._check_references(resource_type, resource)
+        missing = {
+            (resource_type, name)
+            for resource_type, name in removed
+            if name not in by_type[resource_type]
+        }
+        if missing:
+            for resource_type in DEPENDENCY_ORDER:
+                for resource in by_type[resource_type].values():
+                    if missing.intersection(resource.references):
+                        snapshot._check_references(resource_type, resource)
+        return snapshot
+
+    def _check_references(self, resource_type: str, resource: Resource) -> None:
+        for reference in resource.references:
+            if reference[1] not in self.by_type[reference[0]]:
                 raise DanglingReferenceError(
-                    f"{kind} '{one.name}' refers to {need[0]} '{need[1]}', which is not there"
+                    f"{resource_type} '{resource.name}' refers to {reference[0]} "
+                    f"'{reference[1]}', which does not exist"
                 )
--- a/havendyke/xds/stream.py
+++ b/havendyke/xds/stream.py
@@ -1,306 +1,363 @@
-"""One stream of a forwarder, delta form: what it holds, what is under way, what it refused. No I/O,
-no clock.
+"""The state machine of one incremental (delta) xDS stream; no I/O and no clock.
 
-The caller hands in what the forwarder says (`ask`) and each new snapshot (`offer`); both give the
-responses to send, in order. `told` gathers what the controller's account needs: answered marks and
-refusals.
+The caller passes in the proxy's requests (`handle_request`) and each new snapshot
+(`update_snapshot`); both return the responses to send, in order. `events` collects what the
+controller has to know: acknowledged snapshots and rejected resources.
 
-Per type there is at most one response under way; what changes meanwhile is gathered behind it.
-Additions go out in the order of references and wait until what they refer to is acknowledged;
-removals wait until nothing that was acknowledged refers to them. What was refused is not sent again
-until its content changes, and holds nobody else back: the forwarder's account keeps its last
-accepted version.
+Each resource type has at most one response in flight; later changes are collected until it is
+acknowledged. Resources are added in the order of their dependencies, each once all resources it
+refers to are acknowledged, and removed once no acknowledged resource refers to them. A rejected
+resource is not sent again until its content changes, and delays no other: the proxy keeps the last
+version that it accepted.
 
-States of a type: idle, under way (`sent` is a Sent). An answer with a nonce that is not the one
-under way is stale and changes nothing but what it subscribes to."""
+A request whose nonce is not that of the response in flight is stale; only its subscriptions count.
+"""
 
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from typing import Any
 
-from .resources import DEPENDENCY_ORDER, Snapshot
+from .resources import DEPENDENCY_ORDER, Resource, Snapshot
 
 WILDCARD = "*"
 
 
 class InvalidRequestError(ValueError):
-    """The forwarder said what the protocol has no meaning for; its stream ends with this text."""
+    """A request violates the protocol; the stream ends with this message."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeltaRequest:
-    """A delta request: what it subscribes to and leaves, what it held when the stream began (by
-    name, versions), and its answer to a response (`nonce`), refused where `error` says why."""
+    """A request of the incremental protocol.
+
+    It subscribes to and unsubscribes from names, states the versions that the proxy held when the
+    stream opened, and answers the response with `nonce`: rejected if `error` is set, acknowledged
+    otherwise.
+    """
 
     resource_type: str
-    subscribe: tuple = ()
-    unsubscribe: tuple = ()
-    initial_versions: dict | None = None
+    subscribe: tuple[str, ...] = ()
+    unsubscribe: tuple[str, ...] = ()
+    initial_versions: dict[str, str] | None = None  # by name
     nonce: str = ""
     error: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class DeltaResponse:
+    """A response of the incremental protocol: changed resources and removed names."""
+
     resource_type: str
     nonce: str
-    resources: tuple  # Resources
-    removed: tuple  # names
+    resources: tuple[Resource, ...]
+    removed: tuple[str, ...]
     push_nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotAcknowledged:
-    """The forwarder holds all of a mark's resources that it asked for, but those it refused."""
+    """The proxy holds all resources of a push that it subscribed to and did not reject."""
 
     push_nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class ResourcesRejected:
+    """The proxy rejected a response with these names."""
+
     resource_type: str
-    names: tuple
+    names: tuple[str, ...]
     error: str
 
 
 @dataclass(slots=True)
-class Sent:
+class InFlightResponse:
+    """A response that was neither acknowledged nor rejected yet."""
+
     nonce: str
-    resources: dict  # Resource by name
-    removed: tuple
-    size: int
+    resources: dict[str, Resource]  # by name
+    removed: tuple[str, ...]
+    size: int  # bytes of the resources' bodies
 
 
 @dataclass(slots=True)
-class Kind:
-    """One type on one stream. `held` is what was acknowledged, by name the version; `needs` what
-    that refers to."""
+class TypeState:
+    """One resource type on one stream."""
 
     wildcard: bool = False
-    names: set = field(default_factory=set)  # subscribed by name
-    held: dict = field(default_factory=dict)
-    references: dict = field(default_factory=dict)
-    refused: dict = field(default_factory=dict)  # by name the version that was refused
-    suspect: dict = field(
-        default_factory=dict
-    )  # those refused together with others: each is tried alone
-    absent: set = field(default_factory=set)  # names that were told not to be there
-    asked: bool = False  # it has spoken of this type at all
-    sent: Sent | None = None
+    subscribed_names: set[str] = field(default_factory=set)
+    # Versions that the proxy acknowledged, and what these refer to, by name.
+    acknowledged: dict[str, str] = field(default_factory=dict)
+    references: dict[str, tuple[tuple[str, str], ...]] = field(default_factory=dict)
+    rejected: dict[str, str] = field(default_factory=dict)  # rejected versions by name
+    # Versions by name that were rejected together with others; each is sent again in a response
+    # of its own.
+    suspect: dict[str, str] = field(default_factory=dict)
+    reported_missing: set[str] = field(default_factory=set)  # names reported not to exist
+    requested: bool = False  # any request had this type
+    in_flight: InFlightResponse | None = None
 
 
 class DeltaStream:
-    """`most` bytes of a response's resources; a larger difference goes in several, one after the
-    other is answered."""
+    """A stream of the incremental protocol.
 
-    def __init__(self, snapshot: Snapshot, max_response_bytes: int = 1 << 20):
-        self.snapshot, self.max_response_bytes, self.serial = snapshot, max_response_bytes, 0
-        self.kinds, self.events, self.answered = {kind: Kind() for kind in DEPENDENCY_ORDER}, [], 0
-        self.begun = False  # all types that it will ask for at once have been asked for
+    A response holds resources of at most `max_response_bytes`, or a single larger one; a larger
+    difference is sent in several responses, each after the previous one is answered.
+    """
+
+    def __init__(self, snapshot: Snapshot, max_response_bytes: int = 1 << 20) -> None:
+        self.snapshot = snapshot
+        self.max_response_bytes = max_response_bytes
+        self.last_nonce = 0
+        self.type_states = {resource_type: TypeState() for resource_type in DEPENDENCY_ORDER}
+        self.events: list[SnapshotAcknowledged | ResourcesRejected] = []
+        self.acknowledged_push = 0
+        self.initial_requests_done = False
         self.counts = {"responses": 0, "acks": 0, "nacks": 0, "stale": 0}
 
-    # What comes in
-
-    def handle_request(self, ask: DeltaRequest) -> list:
-        if ask.resource_type not in self.kinds:
-            raise InvalidRequestError(f"type '{ask.resource_type[:60]}' is not served")
-        kind = self.kinds[ask.resource_type]
-        if ask.nonce:
-            self.answer(ask, kind)
-        elif ask.error is not None:
-            raise InvalidRequestError("an error without a nonce")
-        if ask.initial_versions is not None:
-            if kind.asked:
-                raise InvalidRequestError("versions held are for the first request of a type")
-            kind.held = dict(ask.initial_versions)
-            # What a version of before refers to only that one could tell; of the present one it is
-            # known.
-            for name, version in ask.initial_versions.items():
-                one = self.snapshot.get(ask.resource_type, name)
-                if one is not None and one.version == version:
-                    kind.references[name] = one.references
-        first, kind.asked = not kind.asked, True
-        if first and not ask.subscribe and not ask.nonce:
-            kind.wildcard = True  # of old, a first request that names nothing asks for all
-        for name in ask.subscribe:
+    def handle_request(self, request: DeltaRequest) -> list[DeltaResponse]:
+        """Applies a request; returns the responses to send."""
+        if request.resource_type not in self.type_states:
+            raise InvalidRequestError(f"type '{request.resource_type[:60]}' is not served")
+        state = self.type_states[request.resource_type]
+        if request.nonce:
+            self._handle_answer(request, state)
+        elif request.error is not None:
+            raise InvalidRequestError("error_detail without a response_nonce")
+        if request.initial_versions is not None:
+            if state.requested:
+                raise InvalidRequestError(
+                    "initial_resource_versions after the first request for a type"
+                )
+            state.acknowledged = dict(request.initial_versions)
+            # Only the references of the current version are known here, not those of earlier ones.
+            for name, version in request.initial_versions.items():
+                resource = self.snapshot.get(request.resource_type, name)
+                if resource is not None and resource.version == version:
+                    state.references[name] = resource.references
+        is_first, state.requested = not state.requested, True
+        if is_first and not request.subscribe and not request.nonce:
+            state.wildcard = True  # legacy: a first request without names subscribes to all
+        for name in request.subscribe:
             if name == WILDCARD:
-                kind.wildcard = True
+                state.wildcard = True
             else:
-                kind.names.add(name)
-                kind.absent.discard(name)
-                # Asked for by name it is told, also where nothing of it changed.
-                if name in kind.held and not first:
-                    del kind.held[name]
-        for name in ask.unsubscribe:
+                state.subscribed_names.add(name)
+                state.reported_missing.discard(name)
+                # A resource that is subscribed to by name is sent again even if it is unchanged.
+                if name in state.acknowledged and not is_first:
+                    del state.acknowledged[name]
+        for name in request.unsubscribe:
             if name == WILDCARD:
-                kind.wildcard = False
-            kind.names.discard(name)
-            kind.absent.discard(name)
-        self.forget(kind)
-        return self.flow()
-
-    def answer(self, ask, kind):
-        if kind.sent is None or ask.nonce != kind.sent.nonce:
+                state.wildcard = False
+            state.subscribed_names.discard(name)
+            state.reported_missing.discard(name)
+        self._forget_unsubscribed(state)
+        return self._next_responses()
+
+    def _handle_answer(self, request: DeltaRequest, state: TypeState) -> None:
+        if state.in_flight is None or request.nonce != state.in_flight.nonce:
             self.counts["stale"] += 1
             return
-        sent, kind.sent = kind.sent, None
-        if ask.error is not None:
+        answered, state.in_flight = state.in_flight, None
+        if request.error is not None:
             self.counts["nacks"] += 1
-            if sent.removed:
-                # A removal is no content to refuse: it has been told, and is not taken for holding
-                # it any longer.
-                self.dropped(kind, sent.removed)
-            versions = {name: one.version for name, one in sent.resources.items()}
+            if answered.removed:
+                # A removal has no content to reject; the proxy is taken to have applied it.
+                self._forget(state, answered.removed)
+            versions = {name: resource.version for name, resource in answered.resources.items()}
             if len(versions) > 1:
-                # Which of them it cannot use it does not say; the good ones must not be held back.
-                kind.suspect |= versions
+                # The rejection does not say which resource is at fault, and the valid ones must
+                # not be delayed.
+                state.suspect |= versions
                 return
-            kind.refused |= versions
+            state.rejected |= versions
             self.events.append(
                 ResourcesRejected(
-                    ask.resource_type,
-                    tuple(sorted(sent.resources) or sent.removed),
-                    ask.error[:300],
+                    request.resource_type,
+                    tuple(sorted(answered.resources) or answered.removed),
+                    request.error[:300],
                 )
             )
             return
         self.counts["acks"] += 1
-        for name, one in sent.resources.items():
-            kind.held[name], kind.references[name] = one.version, one.references
-            kind.refused.pop(name, None)
-            kind.suspect.pop(name, None)
-        self.dropped(kind, sent.removed)
+        for name, resource in answered.resources.items():
+            state.acknowledged[name], state.references[name] = (
+                resource.version,
+                resource.references,
+            )
+            state.rejected.pop(name, None)
+            state.suspect.pop(name, None)
+        self._forget(state, answered.removed)
 
     @staticmethod
-    def dropped(kind, names):
+    def _forget(state: TypeState, names: Iterable[str]) -> None:
         for name in names:
-            kind.held.pop(name, None)
-            kind.references.pop(name, None)
-            kind.refused.pop(name, None)
-            kind.suspect.pop(name, None)
+            state.acknowledged.pop(name, None)
+            state.references.pop(name, None)
+            state.rejected.pop(name, None)
+            state.suspect.pop(name, None)
 
     @staticmethod
-    def forget(kind):
-        """What it no longer asks for it need not be told of."""
-        if not kind.wildcard:
-            for name in [n for n in kind.held if n not in kind.names]:
-                kind.held.pop(name)
-                kind.references.pop(name, None)
-            for told in (kind.refused, kind.suspect):
-                for name in [n for n in told if n not in kind.names]:
-                    del told[name]
-
-    def update_snapshot(self, snapshot: Snapshot) -> list:
+    def _forget_unsubscribed(state: TypeState) -> None:
+        if not state.wildcard:
+            for name in [n for n in state.acknowledged if n not in state.subscribed_names]:
+                state.acknowledged.pop(name)
+                state.references.pop(name, None)
+            for versions in (state.rejected, state.suspect):
+                for name in [n for n in versions if n not in state.subscribed_names]:
+                    del versions[name]
+
+    def update_snapshot(self, snapshot: Snapshot) -> list[DeltaResponse]:
+        """Replaces the snapshot to serve; returns the responses to send."""
         self.snapshot = snapshot
-        return self.flow()
-
-    def begin(self) -> list:
-        """For the caller, a moment after the stream began: types that it has not asked for by now
-        it does not hold."""
-        self.begun = True
-        return self.flow()
-
-    # What goes out
-
-    def flow(self) -> list:
-        """The one place where the difference between wanted and held becomes responses."""
-        made = []
-        for kind in DEPENDENCY_ORDER:
-            if response := self.additions(kind):
-                made.append(response)
-        for kind in reversed(DEPENDENCY_ORDER):
-            if response := self.removals(kind):
-                made.append(response)
+        return self._next_responses()
+
+    def finish_initial_requests(self) -> list[DeltaResponse]:
+        """Assumes that the proxy holds no resources of types it has not requested by now.
+
+        The caller calls this a moment after the stream opened.
+        """
+        self.initial_requests_done = True
+        return self._next_responses()
+
+    def _next_responses(self) -> list[DeltaResponse]:
+        """Derives all responses from the difference between subscribed and acknowledged."""
+        responses = []
+        for resource_type in DEPENDENCY_ORDER:
+            if response := self._additions(resource_type):
+                responses.append(response)
+        for resource_type in reversed(DEPENDENCY_ORDER):
+            if response := self._removals(resource_type):
+                responses.append(response)
         if (
-            not made
-            and all(k.sent is None for k in self.kinds.values())
-            and self.snapshot.push_nonce != self.answered
-            and any(k.asked for k in self.kinds.values())
+            not responses
+            and all(state.in_flight is None for state in self.type_states.values())
+            and self.snapshot.push_nonce != self.acknowledged_push
+            and any(state.requested for state in self.type_states.values())
         ):
-            self.answered = self.snapshot.push_nonce
-            self.events.append(SnapshotAcknowledged(self.answered))
-        return made
-
-    def wanted(self, kind: Kind, name: str):
-        """The names it asks for that are there."""
-        there = self.snapshot.by_type[name]
-        return there.keys() if kind.wildcard else [n for n in sorted(kind.names) if n in there]
-
-    def additions(self, name) -> DeltaResponse | None:
-        kind = self.kinds[name]
-        if not kind.asked or kind.sent is not None:
+            self.acknowledged_push = self.snapshot.push_nonce
+            self.events.append(SnapshotAcknowledged(self.acknowledged_push))
+        return responses
+
+    def _existing_names(self, state: TypeState, resource_type: str) -> Iterable[str]:
+        """Returns the subscribed names that exist."""
+        resources: Mapping[str, Resource] = self.snapshot.by_type[resource_type]
+        return (
+            resources.keys()
+            if state.wildcard
+            else [name for name in sorted(state.subscribed_names) if name in resources]
+        )
+
+    def _additions(self, resource_type: str) -> DeltaResponse | None:
+        state = self.type_states[resource_type]
+        if not state.requested or state.in_flight is not None:
             return None
-        put, size, alone = {}, 0, None
-        for n in self.wanted(kind, name):
-            one = self.snapshot.get(name, n)
+        resources: dict[str, Resource] = {}
+        size = 0
+        first_suspect: Resource | None = None
+        for name in self._existing_names(state, resource_type):
+            resource: Any = self.snapshot.get(resource_type, name)  # not None
             if (
-                kind.held.get(n) == one.version
-                or kind.refused.get(n) == one.version
-                or not self.ready(one)
+                state.acknowledged.get(name) == resource.version
+                or state.rejected.get(name) == resource.version
+                or not self._references_acknowledged(resource)
             ):
                 continue
-            if kind.suspect.get(n) == one.version:
-                alone = alone or one
+            if state.suspect.get(name) == resource.version:
+                first_suspect = first_suspect or resource
                 continue
-            if put and size + len(one.body) > self.max_response_bytes:
+            if resources and size + len(resource.body) > self.max_response_bytes:
                 break
-            put[n], size = one, size + len(one.body)
-        if not put and alone is not None:
-            put, size = {alone.name: alone}, len(alone.body)
-        absent = tuple(
-            n
-            for n in sorted(kind.names)
-            if n not in self.snapshot.by_type[name] and n not in kind.absent and n not in kind.held
+            resources[name], size = resource, size + len(resource.body)
+        if not resources and first_suspect is not None:
+            resources, size = {first_suspect.name: first_suspect}, len(first_suspect.body)
+        missing = tuple(
+            name
+            for name in sorted(state.subscribed_names)
+            if name not in self.snapshot.by_type[resource_type]
+            and name not in state.reported_missing
+            and name not in state.acknowledged
         )
-        kind.absent.update(absent)
-        return self.send(name, put, absent, size) if put or absent else None
+        state.reported_missing.update(missing)
+        return self._send(resource_type, resources, missing, size) if resources or missing else None
 
-    def ready(self, one) -> bool:
-        """Whether the forwarder holds what this refers to, as far as it asks for that type at all.
-        What is being removed it holds no longer, though that was not answered yet."""
+    def _references_acknowledged(self, resource: Resource) -> bool:
+        """Whether the proxy holds what a resource refers to, of the types it requests.
+
+        A resource whose removal is in flight counts as removed already.
+        """
         return all(
-            not self.kinds[k].asked
-            or n in self.kinds[k].held
-            and not (self.kinds[k].sent and n in self.kinds[k].sent.removed)
-            for k, n in one.references
+            not self.type_states[resource_type].requested
+            or name in self.type_states[resource_type].acknowledged
+            and not (
+                self.type_states[resource_type].in_flight
+                and name in self.type_states[resource_type].in_flight.removed  # type: ignore[union-attr]
+            )
+            for resource_type, name in resource.references
         )
 
-    def removals(self, name) -> DeltaResponse | None:
-        kind = self.kinds[name]
-        if not kind.asked or kind.sent is not None:
+    def _removals(self, resource_type: str) -> DeltaResponse | None:
+        state = self.type_states[resource_type]
+        if not state.requested or state.in_flight is not None:
             return None
-        later = [self.kinds[k] for k in DEPENDENCY_ORDER[DEPENDENCY_ORDER.index(name) + 1 :]]
-        # After a return it may hold what refers to anything, told or not yet: that is renewed or
-        # removed first.
+        dependents = [
+            self.type_states[later]
+            for later in DEPENDENCY_ORDER[DEPENDENCY_ORDER.index(resource_type) + 1 :]
+        ]
+        # A proxy that reconnected may hold resources with unknown references; these are updated
+        # or removed first.
         if (
-            any(n not in k.references for k in later for n in k.held)
-            or not self.begun
-            and not all(k.asked for k in later)
+            any(
+                name not in dependent.references
+                for dependent in dependents
+                for name in dependent.acknowledged
+            )
+            or not self.initial_requests_done
+            and not all(dependent.requested for dependent in dependents)
         ):
             return None
-        used = {
-            need for k in self.kinds.values() for needs in k.references.values() for need in needs
+        in_use = {
+            reference
+            for other in self.type_states.values()
+            for references in other.references.values()
+            for reference in references
         }
-        used |= {
-            need
-            for k in self.kinds.values()
-            if k.sent
-            for one in k.sent.resources.values()
-            for need in one.references
+        in_use |= {
+            reference
+            for other in self.type_states.values()
+            if other.in_flight
+            for resource in other.in_flight.resources.values()
+            for reference in resource.references
         }
-        drop = tuple(
-            n
-            for n in sorted(kind.held)
-            if n not in self.snapshot.by_type[name] and (name, n) not in used
+        removed = tuple(
+            name
+            for name in sorted(state.acknowledged)
+            if name not in self.snapshot.by_type[resource_type]
+            and (resource_type, name) not in in_use
         )
-        return self.send(name, {}, drop, 0) if drop else None
-
-    def send(self, name, put, drop, size) -> DeltaResponse:
-        self.serial += 1
+        return self._send(resource_type, {}, removed, 0) if removed else None
+
+    def _send(
+        self,
+        resource_type: str,
+        resources: dict[str, Resource],
+        removed: tuple[str, ...],
+        size: int,
+    ) -> DeltaResponse:
+        self.last_nonce += 1
         self.counts["responses"] += 1
-        self.kinds[name].sent = Sent(f"{self.serial:x}", put, drop, size)
+        self.type_states[resource_type].in_flight = InFlightResponse(
+            f"{self.last_nonce:x}", resources, removed, size
+        )
         return DeltaResponse(
-            name, f"{self.serial:x}", tuple(put.values()), drop, self.snapshot.push_nonce
+            resource_type,
+            f"{self.last_nonce:x}",
+            tuple(resources.values()),
+            removed,
+            self.snapshot.push_nonce,
         )
 
     def unacknowledged_bytes(self) -> int:
-        """Bytes that wait for an answer: what a reader that stalls costs."""
-        return sum(k.sent.size for k in self.kinds.values() if k.sent)
+        """Returns the size of all responses in flight: the cost of a client that stalls."""
+        return sum(state.in_flight.size for state in self.type_states.values() if state.in_flight)
--- a/tests/xds/test_server.py
+++ b/tests/xds/test_server.py
@@ -1,5 +1,4 @@
-"""Real gRPC on loopback: stand-in clients of both forms that join, acknowledge, refuse, are cut and
-come back."""
+"""The gRPC service on loopback, with clients of both variants of the protocol."""
 
 import asyncio
 
@@ -12,14 +11,16 @@
 from havendyke import interface as core
 from havendyke.registry import ObjectRegistry
 from havendyke.xds import wire
-from havendyke.xds.forwarders import Forwarders
+from havendyke.xds.proxy_streams import ProxyStreams
 from havendyke.xds.resources import CLUSTER, ENDPOINTS, VIRTUAL_HOSTS
-from havendyke.xds.server import Server, serve
+from havendyke.xds.server import DiscoveryService, serve
 
-URL = {kind: wire.PREFIX + url for kind, url in wire.URLS.items()}
+TYPE_URLS = {
+    resource_type: wire.TYPE_URL_PREFIX + name for resource_type, name in wire.MESSAGE_NAMES.items()
+}
 
 
-class World:
+class Deployment:
     """A controller with five servers and ten slices behind a gRPC server."""
 
     async def __aenter__(self):
@@ -35,21 +36,23 @@
             ),
             1,
         )
-        front = Forwarders(self.registry, lambda uid: f"127.0.0.9:{1000 + int(uid[1:])}")
-        self.list("ready", *(f"s{k}" for k in range(5)))
-        front.begin({k: {f"s{k % 5}": 1.0} for k in range(10)})
-        self.server = Server(front, ["a", "b"])
-        self.grpc, port = await serve(self.server, "127.0.0.1:0")
-        self.server.soon()
+        proxy_streams = ProxyStreams(
+            self.registry, lambda server_id: f"127.0.0.9:{1000 + int(server_id[1:])}"
+        )
+        self.update_endpoints("ready", *(f"s{k}" for k in range(5)))
+        proxy_streams.assign_slices({k: {f"s{k % 5}": 1.0} for k in range(10)})
+        self.service = DiscoveryService(proxy_streams, ["a", "b"])
+        self.grpc_server, port = await serve(self.service, "127.0.0.1:0")
+        self.service.schedule_reconciliation()
         self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{port}")
         self.stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(self.channel)
         return self
 
     async def __aexit__(self, *error):
         await self.channel.close()
-        await self.grpc.stop(0)
+        await self.grpc_server.stop(0)
 
-    def list(self, state, *names):
+    def update_endpoints(self, state, *names):
         self.registry.pending_events.append(
             core.EndpointListUpdate(
                 core.ListScope.CHANGES,
@@ -61,34 +64,37 @@
         )
 
 
-class Delta:
-    """A delta client: a ledger of what it applied, by type and name."""
+class DeltaClient:
+    """An incremental client: holds resources by type and name and lists all that it applied."""
 
-    def __init__(self, world, node="n1", holds=None):
-        self.call, self.node = world.stub.DeltaAggregatedResources(), node
-        self.held, self.ledger = (
-            holds or {kind: {} for kind in (CLUSTER, ENDPOINTS, VIRTUAL_HOSTS)},
+    def __init__(self, deployment, node_id="n1", resources=None):
+        self.call, self.node_id = deployment.stub.DeltaAggregatedResources(), node_id
+        self.resources, self.applied = (
+            resources
+            or {resource_type: {} for resource_type in (CLUSTER, ENDPOINTS, VIRTUAL_HOSTS)},
             [],
         )
 
-    def request(self, kind, **more):
-        made = discovery_pb2.DeltaDiscoveryRequest(type_url=URL[kind], **more)
-        made.node.id, made.node.locality.zone = self.node, "b"
-        made.node.metadata["rate"] = 25.0
-        return made
+    def make_request(self, resource_type, **fields):
+        request = discovery_pb2.DeltaDiscoveryRequest(type_url=TYPE_URLS[resource_type], **fields)
+        request.node.id, request.node.locality.zone = self.node_id, "b"
+        request.node.metadata["rate"] = 25.0
+        return request
 
     async def start(self):
-        for kind in self.held:
+        for resource_type in self.resources:
             await self.call.write(
-                self.request(
-                    kind,
+                self.make_request(
+                    resource_type,
                     resource_names_subscribe=["*"],
-                    initial_resource_versions={n: v for n, (v, _) in self.held[kind].items()},
+                    initial_resource_versions={
+                        n: v for n, (v, _) in self.resources[resource_type].items()
+                    },
                 )
             )
 
-    async def read(self, seconds=2.0, refuses=lambda resource: False):
-        """Applies what comes until nothing does for a moment."""
+    async def read(self, seconds=2.0, rejects=lambda resource: False):
+        """Applies responses until none arrives for `seconds`, at most 1.7 after the first."""
         while True:
             try:
                 response = await asyncio.wait_for(self.call.read(), seconds)
@@ -96,82 +102,84 @@
                 return
             if response is grpc.aio.EOF:
                 return
-            kind = wire.KINDS[response.type_url]
-            answer = self.request(kind, response_nonce=response.nonce)
-            if any(refuses(r) for r in response.resources):
+            resource_type = wire.RESOURCE_TYPES[response.type_url]
+            answer = self.make_request(resource_type, response_nonce=response.nonce)
+            if any(rejects(r) for r in response.resources):
                 answer.error_detail.message = "cannot use it"
             else:
                 for r in response.resources:
-                    self.held[kind][r.name] = (r.version, r.resource)
-                    self.ledger.append((kind, r.name, r.version))
+                    self.resources[resource_type][r.name] = (r.version, r.resource)
+                    self.applied.append((resource_type, r.name, r.version))
                 for name in response.removed_resources:
-                    self.held[kind].pop(name, None)
+                    self.resources[resource_type].pop(name, None)
             await self.call.write(answer)
             seconds = min(seconds, 1.7)
 
 
-def run(scene):
-    async def inside():
-        async with World() as world:
-            await scene(world)
+def run(scenario):
+    async def run_scenario():
+        async with Deployment() as deployment:
+            await scenario(deployment)
 
-    asyncio.run(asyncio.wait_for(inside(), 30))
+    asyncio.run(asyncio.wait_for(run_scenario(), 30))
 
 
-def test_a_delta_client_holds_the_tables_once_and_a_return_brings_the_difference():
-    async def scene(world):
-        client = Delta(world)
+def test_a_delta_client_applies_each_version_once_and_receives_the_difference_on_reconnecting():
+    async def scenario(deployment):
+        client = DeltaClient(deployment)
         await client.start()
         await client.read()
-        assert len(client.held[VIRTUAL_HOSTS]) == 10 and len(client.ledger) == len(
-            set(client.ledger)
+        assert len(client.resources[VIRTUAL_HOSTS]) == 10 and len(client.applied) == len(
+            set(client.applied)
         )
-        one = route_components_pb2.VirtualHost()
-        assert client.held[VIRTUAL_HOSTS]["slice/3"][1].Unpack(one) and "s3" in {
-            c.name for c in one.routes[0].route.weighted_clusters.clusters
+        virtual_host = route_components_pb2.VirtualHost()
+        assert client.resources[VIRTUAL_HOSTS]["slice/3"][1].Unpack(virtual_host) and "s3" in {
+            c.name for c in virtual_host.routes[0].route.weighted_clusters.clusters
         }
-        (proxy,) = world.registry.proxies.values()
-        scene = ControllerHarness.wrap(world.registry.controller)
+        (proxy,) = deployment.registry.proxies.values()
+        controller = ControllerHarness.wrap(deployment.registry.controller)
         assert (
-            scene.is_connected(proxy)
+            controller.is_connected(proxy)
             and proxy.zone == 1
-            and scene.request_rate(proxy) == 25.0
-            and scene.acknowledged_push(proxy) == scene.push_count > 0
+            and controller.request_rate(proxy) == 25.0
+            and controller.acknowledged_push(proxy) == controller.push_count > 0
         )
-        client.call.cancel()  # cut: the drain comes while it is away
+        client.call.cancel()  # the server starts draining while the client is disconnected
         await asyncio.sleep(0.2)
-        assert not scene.is_connected(proxy)
-        world.list("draining", "s1")
-        world.server.soon()
+        assert not controller.is_connected(proxy)
+        deployment.update_endpoints("draining", "s1")
+        deployment.service.schedule_reconciliation()
         await asyncio.sleep(1.2)
-        back = Delta(world, holds=client.held)
-        await back.start()
-        await back.read(1.5)
+        reconnected = DeltaClient(deployment, resources=client.resources)
+        await reconnected.start()
+        await reconnected.read(1.5)
         assert (
-            scene.is_connected(proxy)
-            and 0 < len(back.ledger) < 25
-            and not set(back.ledger) & set(client.ledger)
+            controller.is_connected(proxy)
+            and 0 < len(reconnected.applied) < 25
+            and not set(reconnected.applied) & set(client.applied)
         )
-        told = back.held[ENDPOINTS].get("s1")
-        assert (
-            told is None or b"\x10\x03" in told[1].value
-        )  # gone, or its health says that it drains
+        endpoint = reconnected.resources[ENDPOINTS].get("s1")
+        # The endpoint is removed, or its health status is DRAINING.
+        assert endpoint is None or b"\x10\x03" in endpoint[1].value
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_whole_state_client_and_a_refusal_that_holds_nobody_back():
-    async def scene(world):
-        good, call = Delta(world, "good"), world.stub.StreamAggregatedResources()
-        await good.start()
-        held = {}
+def test_a_sotw_client_is_served_and_a_rejection_delays_no_other_client():
+    async def scenario(deployment):
+        accepting, call = (
+            DeltaClient(deployment, "good"),
+            deployment.stub.StreamAggregatedResources(),
+        )
+        await accepting.start()
+        received = {}
 
-        async def whole():
-            first = discovery_pb2.DiscoveryRequest(type_url=URL[CLUSTER])
+        async def run_sotw_client():
+            first = discovery_pb2.DiscoveryRequest(type_url=TYPE_URLS[CLUSTER])
             first.node.id = "whole"
             await call.write(first)
             while (response := await call.read()) is not grpc.aio.EOF:
-                held[response.type_url] = response.version_info, len(response.resources)
+                received[response.type_url] = response.version_info, len(response.resources)
                 await call.write(
                     discovery_pb2.DiscoveryRequest(
                         type_url=response.type_url,
@@ -180,41 +188,45 @@
                     )
                 )
 
-        reading = asyncio.get_running_loop().create_task(whole())
-        bad = Delta(world, "bad")
-        await bad.start()
-        await asyncio.gather(good.read(), bad.read(refuses=lambda r: r.name == "slice/3"))
+        reading = asyncio.get_running_loop().create_task(run_sotw_client())
+        rejecting = DeltaClient(deployment, "bad")
+        await rejecting.start()
+        await asyncio.gather(
+            accepting.read(), rejecting.read(rejects=lambda r: r.name == "slice/3")
+        )
         assert (
-            "slice/3" not in bad.held[VIRTUAL_HOSTS]
-            and len(bad.held[VIRTUAL_HOSTS]) == 9
-            and len(good.held[VIRTUAL_HOSTS]) == 10
+            "slice/3" not in rejecting.resources[VIRTUAL_HOSTS]
+            and len(rejecting.resources[VIRTUAL_HOSTS]) == 9
+            and len(accepting.resources[VIRTUAL_HOSTS]) == 10
         )
         assert (
-            held[URL[CLUSTER]][1] == len(good.held[CLUSTER])
-            and world.server.forwarders.counts["refused"] >= 1
+            received[TYPE_URLS[CLUSTER]][1] == len(accepting.resources[CLUSTER])
+            and deployment.service.proxy_streams.counts["refused"] >= 1
         )
         reading.cancel()
 
-    run(scene)
+    run(scenario)
 
 
 @pytest.mark.parametrize(
-    "kind, node, said", [("odd", "n", "not served"), (URL[CLUSTER], "", "name its node")]
+    "type_url, node_id, message",
+    [("odd", "n", "not served"), (TYPE_URLS[CLUSTER], "", "name its node")],
 )
-def test_what_a_client_says_wrong_ends_its_stream_with_the_reason(kind, node, said):
-    async def scene(world):
-        call = world.stub.DeltaAggregatedResources()
-        made = discovery_pb2.DeltaDiscoveryRequest(type_url=kind)
-        made.node.id = node
-        await call.write(made)
+def test_an_invalid_request_ends_the_stream_with_the_reason(type_url, node_id, message):
+    async def scenario(deployment):
+        call = deployment.stub.DeltaAggregatedResources()
+        request = discovery_pb2.DeltaDiscoveryRequest(type_url=type_url)
+        request.node.id = node_id
+        await call.write(request)
         with pytest.raises(grpc.aio.AioRpcError) as error:
             while await call.read() is not grpc.aio.EOF:
                 pass
             await call.code()
             raise grpc.aio.AioRpcError(await call.code(), None, None, details=await call.details())
         assert (
-            error.value.code() == grpc.StatusCode.INVALID_ARGUMENT and said in error.value.details()
+            error.value.code() == grpc.StatusCode.INVALID_ARGUMENT
+            and message in error.value.details()
         )
-        assert not world.server.forwarders.joined
+        assert not deployment.service.proxy_streams.streams
 
-    run(scene)
+    run(scenario)
--- a/tests/xds/test_streams.py
+++ b/tests/xds/test_streams.py
@@ -1,5 +1,4 @@
-"""A stand-in forwarder with a ledger: it acknowledges, refuses, repeats, breaks off and comes back
-elsewhere."""
+"""The incremental state machine, with a simulated proxy that applies, rejects and reconnects."""
 
 import random
 
@@ -24,66 +23,70 @@
 )
 
 
-class Forwarder:
-    """Holds bodies by type and name, and a ledger of what was applied; `refuses(resource)` says
-    what it cannot use."""
+class DeltaProxy:
+    """Holds resources by type and name and lists all that it applied.
 
-    def __init__(self, refuses=lambda one: False):
-        self.held, self.versions, self.ledger, self.refuses = (
-            {k: {} for k in DEPENDENCY_ORDER},
-            {k: {} for k in DEPENDENCY_ORDER},
+    `rejects(resource)` says which resources it cannot use.
+    """
+
+    def __init__(self, rejects=lambda resource: False):
+        self.resources, self.versions, self.applied, self.rejects = (
+            {t: {} for t in DEPENDENCY_ORDER},
+            {t: {} for t in DEPENDENCY_ORDER},
             [],
-            refuses,
+            rejects,
         )
 
     def apply(self, response) -> DeltaRequest:
-        bad = [one.name for one in response.resources if self.refuses(one)]
-        if bad:
+        rejected = [resource.name for resource in response.resources if self.rejects(resource)]
+        if rejected:
             return DeltaRequest(
-                response.resource_type, nonce=response.nonce, error=f"cannot use {bad}"
+                response.resource_type, nonce=response.nonce, error=f"cannot use {rejected}"
             )
-        for one in response.resources:
-            for kind, name in one.references:
-                assert name in self.held[kind], (
-                    f"{response.resource_type} {one.name} points to {name}, which it does not hold"
+        for resource in response.resources:
+            for resource_type, name in resource.references:
+                assert name in self.resources[resource_type], (
+                    f"{response.resource_type} {resource.name} refers to {name}, which is missing"
                 )
-            assert self.versions[response.resource_type].get(one.name) != one.version, (
-                "told what it holds"
+            assert self.versions[response.resource_type].get(resource.name) != resource.version, (
+                "sent a version that the proxy holds"
             )
             (
-                self.held[response.resource_type][one.name],
-                self.versions[response.resource_type][one.name],
+                self.resources[response.resource_type][resource.name],
+                self.versions[response.resource_type][resource.name],
             ) = (
-                one,
-                one.version,
+                resource,
+                resource.version,
             )
-            self.ledger.append((response.resource_type, one.name, one.version))
+            self.applied.append((response.resource_type, resource.name, resource.version))
         for name in response.removed:
-            self.held[response.resource_type].pop(name, None)
+            self.resources[response.resource_type].pop(name, None)
             self.versions[response.resource_type].pop(name, None)
-        for kind in DEPENDENCY_ORDER:
-            for one in self.held[kind].values():
-                assert all(n in self.held[k] for k, n in one.references), (
-                    f"{kind} {one.name} lost what it points to"
+        for resource_type in DEPENDENCY_ORDER:
+            for resource in self.resources[resource_type].values():
+                assert all(n in self.resources[t] for t, n in resource.references), (
+                    f"{resource_type} {resource.name} refers to a removed resource"
                 )
         return DeltaRequest(response.resource_type, nonce=response.nonce)
 
     def settle(self, stream, responses):
-        """Answers until nothing is under way."""
+        """Answers until no response is in flight."""
         while responses:
-            responses = [more for r in responses for more in stream.handle_request(self.apply(r))]
+            responses = [
+                following for r in responses for following in stream.handle_request(self.apply(r))
+            ]
 
-    def start(self, stream, holds=False):
-        out = []
-        for kind in DEPENDENCY_ORDER:
-            out += stream.handle_request(
+    def connect(self, stream, send_versions=False):
+        responses = []
+        for resource_type in DEPENDENCY_ORDER:
+            responses += stream.handle_request(
                 DeltaRequest(
-                    kind,
+                    resource_type,
                     subscribe=("*",),
-                    initial_versions=dict(self.versions[kind]) if holds else None,
+                    initial_versions=dict(self.versions[resource_type]) if send_versions else None,
                 )
             )
-        self.settle(stream, out)
+        self.settle(stream, responses)
 
 
 def cluster(name, body=b"1"):
@@ -97,29 +100,29 @@
     return ROUTES, make_resource(name, repr(clusters).encode(), [(CLUSTER, c) for c in clusters])
 
 
-def offered(mark=1, *names):
-    put = [item for n in names for item in cluster(n)] + [route("r", *names)]
-    return Snapshot().with_changes(mark, put)
+def snapshot_with(push_nonce=1, *names):
+    updated = [item for n in names for item in cluster(n)] + [route("r", *names)]
+    return Snapshot().with_changes(push_nonce, updated)
 
 
-def test_all_is_told_in_the_order_of_references_and_the_mark_is_answered():
-    stream, forwarder = DeltaStream(offered(7, "a", "b")), Forwarder()
-    forwarder.start(stream)
-    assert {k: sorted(v) for k, v in forwarder.held.items() if v} == {
+def test_all_resources_are_sent_in_dependency_order_and_the_snapshot_is_acknowledged():
+    stream, proxy = DeltaStream(snapshot_with(7, "a", "b")), DeltaProxy()
+    proxy.connect(stream)
+    assert {t: sorted(names) for t, names in proxy.resources.items() if names} == {
         CLUSTER: ["a", "b"],
         ENDPOINTS: ["a", "b"],
         ROUTES: ["r"],
     }
-    assert stream.events == [SnapshotAcknowledged(7)] and len(forwarder.ledger) == 5
+    assert stream.events == [SnapshotAcknowledged(7)] and len(proxy.applied) == 5
 
 
-def test_only_what_changed_goes_out_once():
-    first = offered(1, "a", "b")
-    stream, forwarder = DeltaStream(first), Forwarder()
-    forwarder.start(stream)
-    before = len(forwarder.ledger)
-    forwarder.settle(stream, stream.update_snapshot(first.with_changes(2, cluster("b", b"2"))))
-    assert [k for k, _, _ in forwarder.ledger[before:]] == [CLUSTER, ENDPOINTS] and stream.events[
+def test_only_changed_resources_are_sent_and_only_once():
+    first = snapshot_with(1, "a", "b")
+    stream, proxy = DeltaStream(first), DeltaProxy()
+    proxy.connect(stream)
+    before = len(proxy.applied)
+    proxy.settle(stream, stream.update_snapshot(first.with_changes(2, cluster("b", b"2"))))
+    assert [t for t, _, _ in proxy.applied[before:]] == [CLUSTER, ENDPOINTS] and stream.events[
         -1
     ] == SnapshotAcknowledged(2)
     assert stream.update_snapshot(
@@ -128,56 +131,57 @@
 
 
 def test_a_removal_waits_until_its_replacement_is_acknowledged():
-    first = offered(1, "a")
-    stream, forwarder = DeltaStream(first), Forwarder()
-    forwarder.start(stream)
+    first = snapshot_with(1, "a")
+    stream, proxy = DeltaStream(first), DeltaProxy()
+    proxy.connect(stream)
     second = first.with_changes(
         2, [*cluster("b"), route("r", "b")], [(ENDPOINTS, "a"), (CLUSTER, "a")]
     )
-    out = stream.update_snapshot(second)
-    assert all("a" not in r.removed or r.resource_type == ENDPOINTS for r in out)
-    forwarder.settle(stream, out)  # the forwarder itself checks that nothing ever points nowhere
-    assert sorted(forwarder.held[CLUSTER]) == ["b"] and stream.events[-1] == SnapshotAcknowledged(2)
+    responses = stream.update_snapshot(second)
+    assert all("a" not in r.removed or r.resource_type == ENDPOINTS for r in responses)
+    proxy.settle(stream, responses)  # the proxy checks that no reference ever dangles
+    assert sorted(proxy.resources[CLUSTER]) == ["b"] and stream.events[-1] == SnapshotAcknowledged(
+        2
+    )
 
 
-def test_one_push_under_way_and_what_comes_meanwhile_gathers():
-    now = offered(1, "a")
-    stream = DeltaStream(now)
+def test_changes_during_a_response_in_flight_are_collected():
+    snapshot = snapshot_with(1, "a")
+    stream = DeltaStream(snapshot)
     (first,) = stream.handle_request(DeltaRequest(CLUSTER, subscribe=("*",)))
     for k in range(2, 9):
-        now = now.with_changes(k, cluster("a", str(k).encode()))
-        assert stream.update_snapshot(now) == []
-    (then,) = stream.handle_request(DeltaRequest(CLUSTER, nonce=first.nonce))
-    assert [one.body for one in then.resources] == [b"c8"]
+        snapshot = snapshot.with_changes(k, cluster("a", str(k).encode()))
+        assert stream.update_snapshot(snapshot) == []
+    (second,) = stream.handle_request(DeltaRequest(CLUSTER, nonce=first.nonce))
+    assert [resource.body for resource in second.resources] == [b"c8"]
 
 
-def test_what_is_refused_is_not_sent_again_unchanged_and_holds_back_nobody():
-    first = offered(1, "a", "b")
-    stream, forwarder = (
+def test_a_rejected_resource_is_not_sent_again_unchanged_and_delays_no_other():
+    first = snapshot_with(1, "a", "b")
+    stream, proxy = (
         DeltaStream(first),
-        Forwarder(lambda one: one.body == b"c1" and one.name == "a"),
+        DeltaProxy(lambda resource: resource.body == b"c1" and resource.name == "a"),
     )
-    forwarder.refuses = lambda one: one.body == b"cBAD"
-    forwarder.start(stream)
+    proxy.rejects = lambda resource: resource.body == b"cBAD"
+    proxy.connect(stream)
     second = first.with_changes(2, [*cluster("a", b"BAD"), *cluster("c")])
-    forwarder.settle(stream, stream.update_snapshot(second))
-    refused = [t for t in stream.events if isinstance(t, ResourcesRejected)]
-    assert [(r.resource_type, r.names) for r in refused] == [(CLUSTER, ("a",))] and forwarder.held[
-        CLUSTER
-    ]["a"].body == b"c1"
-    assert (
-        "c" in forwarder.held[CLUSTER] and "c" in forwarder.held[ENDPOINTS]
-    )  # refused together, it is tried alone
-    sent = stream.counts["responses"]
+    proxy.settle(stream, stream.update_snapshot(second))
+    rejections = [event for event in stream.events if isinstance(event, ResourcesRejected)]
+    assert [(r.resource_type, r.names) for r in rejections] == [
+        (CLUSTER, ("a",))
+    ] and proxy.resources[CLUSTER]["a"].body == b"c1"
+    # Rejected in a response with "a", "c" is sent again alone.
+    assert "c" in proxy.resources[CLUSTER] and "c" in proxy.resources[ENDPOINTS]
+    response_count = stream.counts["responses"]
     stream.update_snapshot(second.with_changes(3))
-    assert stream.counts["responses"] == sent
+    assert stream.counts["responses"] == response_count
     third = second.with_changes(4, cluster("a", b"3"))
-    forwarder.settle(stream, stream.update_snapshot(third))
-    assert forwarder.held[CLUSTER]["a"].body == b"c3"
+    proxy.settle(stream, stream.update_snapshot(third))
+    assert proxy.resources[CLUSTER]["a"].body == b"c3"
 
 
-def test_stale_nonces_and_errors_without_one():
-    stream = DeltaStream(offered(1, "a"))
+def test_stale_nonces_are_ignored_and_invalid_requests_raise():
+    stream = DeltaStream(snapshot_with(1, "a"))
     (first,) = stream.handle_request(DeltaRequest(CLUSTER, subscribe=("*",)))
     assert (
         stream.handle_request(DeltaRequest(CLUSTER, nonce="nope")) == []
@@ -185,18 +189,18 @@
     )
     assert (
         stream.handle_request(DeltaRequest(CLUSTER, nonce=first.nonce)) == []
-        and stream.kinds[CLUSTER].held
+        and stream.type_states[CLUSTER].acknowledged
     )
-    for bad in (
+    for invalid in (
         DeltaRequest(CLUSTER, error="x"),
         DeltaRequest("odd"),
         DeltaRequest(CLUSTER, initial_versions={}),
     ):
         with pytest.raises(InvalidRequestError):
-            stream.handle_request(bad)
+            stream.handle_request(invalid)
 
 
-def test_on_demand_names_unknown_ones_and_leaving():
+def test_subscriptions_by_name_to_present_missing_and_unsubscribed_resources():
     stream = DeltaStream(
         Snapshot().with_changes(
             1,
@@ -204,7 +208,7 @@
         )
     )
     (first,) = stream.handle_request(DeltaRequest(VIRTUAL_HOSTS, subscribe=("a", "none")))
-    assert [o.name for o in first.resources] == ["a"] and first.removed == ("none",)
+    assert [r.name for r in first.resources] == ["a"] and first.removed == ("none",)
     stream.handle_request(DeltaRequest(VIRTUAL_HOSTS, nonce=first.nonce))
     assert (
         stream.update_snapshot(
@@ -212,11 +216,11 @@
         )
         == []
     )
-    (came,) = stream.update_snapshot(
+    (created,) = stream.update_snapshot(
         stream.snapshot.with_changes(3, [(VIRTUAL_HOSTS, make_resource("none", b"9"))])
     )
-    assert [o.name for o in came.resources] == ["none"]
-    stream.handle_request(DeltaRequest(VIRTUAL_HOSTS, nonce=came.nonce))
+    assert [r.name for r in created.resources] == ["none"]
+    stream.handle_request(DeltaRequest(VIRTUAL_HOSTS, nonce=created.nonce))
     assert stream.handle_request(DeltaRequest(VIRTUAL_HOSTS, unsubscribe=("a",))) == []
     assert (
         stream.update_snapshot(
@@ -224,38 +228,36 @@
         )
         == []
     )
-    (again,) = stream.handle_request(
-        DeltaRequest(VIRTUAL_HOSTS, subscribe=("none",))
-    )  # asked for by name it is told again
-    assert [o.name for o in again.resources] == ["none"]
-
-
-def test_a_return_to_another_assigner_brings_the_difference_by_content():
-    one, forwarder = DeltaStream(offered(40, "a", "b")), Forwarder()
-    forwarder.start(one)
-    before = len(forwarder.ledger)
-    elsewhere = offered(3, "a", "b").with_changes(
-        4, cluster("b", b"2")
-    )  # another history, other marks
-    other = DeltaStream(elsewhere)
-    forwarder.start(other, holds=True)
-    assert [(k, n) for k, n, _ in forwarder.ledger[before:]] == [(CLUSTER, "b"), (ENDPOINTS, "b")]
-
-
-def test_a_stalled_reader_costs_one_response_a_type():
-    now = Snapshot().with_changes(
+    # A repeated subscription by name sends the resource again.
+    (repeated,) = stream.handle_request(DeltaRequest(VIRTUAL_HOSTS, subscribe=("none",)))
+    assert [r.name for r in repeated.resources] == ["none"]
+
+
+def test_reconnecting_to_another_assigner_sends_the_difference_by_content():
+    first_stream, proxy = DeltaStream(snapshot_with(40, "a", "b")), DeltaProxy()
+    proxy.connect(first_stream)
+    before = len(proxy.applied)
+    # Another assigner has another history and other nonces.
+    other_snapshot = snapshot_with(3, "a", "b").with_changes(4, cluster("b", b"2"))
+    other_stream = DeltaStream(other_snapshot)
+    proxy.connect(other_stream, send_versions=True)
+    assert [(t, n) for t, n, _ in proxy.applied[before:]] == [(CLUSTER, "b"), (ENDPOINTS, "b")]
+
+
+def test_a_stalled_client_costs_one_response_for_each_type():
+    snapshot = Snapshot().with_changes(
         1, [(CLUSTER, make_resource(f"c{k}", bytes(1000))) for k in range(50)]
     )
-    stream = DeltaStream(now, max_response_bytes=4000)
+    stream = DeltaStream(snapshot, max_response_bytes=4000)
     (first,) = stream.handle_request(DeltaRequest(CLUSTER, subscribe=("*",)))
     assert len(first.resources) == 4 and stream.unacknowledged_bytes() == 4000
     for k in range(2, 99):
-        now = now.with_changes(k, [(CLUSTER, make_resource("c1", bytes(1000 + k)))])
-        assert stream.update_snapshot(now) == [] and stream.unacknowledged_bytes() == 4000
+        snapshot = snapshot.with_changes(k, [(CLUSTER, make_resource("c1", bytes(1000 + k)))])
+        assert stream.update_snapshot(snapshot) == [] and stream.unacknowledged_bytes() == 4000
 
 
-def test_a_snapshot_shares_what_did_not_change_and_never_points_nowhere():
-    first = offered(1, "a", "b")
+def test_a_snapshot_shares_unchanged_types_and_has_no_dangling_reference():
+    first = snapshot_with(1, "a", "b")
     second = first.with_changes(2, cluster("a", b"2"))
     assert second.by_type[ROUTES] is first.by_type[ROUTES] and first.get(CLUSTER, "a").body == b"c1"
     with pytest.raises(DanglingReferenceError):
@@ -265,54 +267,62 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_over_cuts_refusals_and_repeats_each_version_takes_effect_once(seed):
-    chance = random.Random(seed)
-    names, now, mark = list("abcdef"), offered(1, "a", "b"), 1
-    forwarder = Forwarder(lambda one: one.body.endswith(b"X"))
-    stream, inbox = DeltaStream(now), []
-    inbox += [
+def test_each_version_is_applied_once_across_reconnects_rejections_and_stale_answers(seed):
+    rng = random.Random(seed)
+    names, snapshot, push_nonce = list("abcdef"), snapshot_with(1, "a", "b"), 1
+    proxy = DeltaProxy(lambda resource: resource.body.endswith(b"X"))
+    stream, responses = DeltaStream(snapshot), []
+    responses += [
         r
-        for kind in DEPENDENCY_ORDER
-        for r in stream.handle_request(DeltaRequest(kind, subscribe=("*",)))
+        for resource_type in DEPENDENCY_ORDER
+        for r in stream.handle_request(DeltaRequest(resource_type, subscribe=("*",)))
     ]
     for _ in range(300):
-        draw = chance.random()
+        draw = rng.random()
         if draw < 0.35:
-            mark += 1
-            some = chance.sample(names, 2)
-            bad = b"X" if chance.random() < 0.1 else b""
-            keep = set(some)
-            drop = [
+            push_nonce += 1
+            updated_names = rng.sample(names, 2)
+            suffix = b"X" if rng.random() < 0.1 else b""
+            kept = set(updated_names)
+            removed = [
                 (t, n)
                 for n in names
-                if n not in keep and now.get(CLUSTER, n) and chance.random() < 0.4
+                if n not in kept and snapshot.get(CLUSTER, n) and rng.random() < 0.4
                 for t in (ENDPOINTS, CLUSTER)
             ]
-            now = now.with_changes(
-                mark,
-                [i for n in some for i in cluster(n, str(mark).encode() + bad)]
-                + [route("r", *some)],
-                drop,
+            snapshot = snapshot.with_changes(
+                push_nonce,
+                [
+                    item
+                    for n in updated_names
+                    for item in cluster(n, str(push_nonce).encode() + suffix)
+                ]
+                + [route("r", *updated_names)],
+                removed,
             )
-            inbox += stream.update_snapshot(now)
+            responses += stream.update_snapshot(snapshot)
         elif draw < 0.42:
-            # Cut anywhere: what is on its way is lost, an answer that was given may be too.
-            stream, inbox = DeltaStream(now), []
-            for kind in DEPENDENCY_ORDER:
-                inbox += stream.handle_request(
+            # The connection breaks: responses in flight are lost, and so may be an answer.
+            stream, responses = DeltaStream(snapshot), []
+            for resource_type in DEPENDENCY_ORDER:
+                responses += stream.handle_request(
                     DeltaRequest(
-                        kind, subscribe=("*",), initial_versions=dict(forwarder.versions[kind])
+                        resource_type,
+                        subscribe=("*",),
+                        initial_versions=dict(proxy.versions[resource_type]),
                     )
                 )
-        elif inbox:
-            answer = forwarder.apply(inbox.pop(0))
-            if chance.random() < 0.1:
+        elif responses:
+            answer = proxy.apply(responses.pop(0))
+            if rng.random() < 0.1:
                 stream.handle_request(DeltaRequest(answer.resource_type, nonce="old"))
-            inbox += stream.handle_request(answer)
-    now = now.with_changes(
-        mark + 1, [i for n in names for i in cluster(n, b"end")] + [route("r", *names)]
+            responses += stream.handle_request(answer)
+    snapshot = snapshot.with_changes(
+        push_nonce + 1, [item for n in names for item in cluster(n, b"end")] + [route("r", *names)]
     )
-    forwarder.settle(stream, inbox + stream.update_snapshot(now))
-    for kind in DEPENDENCY_ORDER:
-        assert forwarder.versions[kind] == {n: r.version for n, r in now.by_type[kind].items()}
-    assert SnapshotAcknowledged(mark + 1) in stream.events
+    proxy.settle(stream, responses + stream.update_snapshot(snapshot))
+    for resource_type in DEPENDENCY_ORDER:
+        assert proxy.versions[resource_type] == {
+            n: r.version for n, r in snapshot.by_type[resource_type].items()
+        }
+    assert SnapshotAcknowledged(push_nonce + 1) in stream.events
