--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -13,12 +13,12 @@
 )
 
 
-def main(words: Sequence[str]) -> int:
+def main(arguments: Sequence[str]) -> int:
     """Runs the benchmark and returns its status."""
-    if not words or words[0] not in NAMES:
+    if not arguments or arguments[0] not in NAMES:
         print(f"benchmarks: give one of {', '.join(NAMES)}", file=sys.stderr)
         return 2
-    name, *options = words
+    name, *options = arguments
     benchmark = importlib.import_module(f"benchmarks.{name}")
     if hasattr(benchmark, "main"):
         status: int = benchmark.main(options)
--- a/benchmarks/_days.py
+++ b/benchmarks/_days.py
@@ -28,7 +28,7 @@
 Record = Callable[[Sequence[interface.Order]], None]
 
 
-class NoRules:
+class NoRuleChecks:
     """Stands in for the rules that judge a fuzzed day: a recorded day is judged by nobody."""
 
     violations = ()
@@ -91,16 +91,16 @@
     )
 
 
-def kind_of(layout: str, settings: interface.Settings) -> str:
+def describe_settings(layout: str, settings: interface.Settings) -> str:
     """The settings' kind in words."""
-    words = [layout, f"controllers {settings.controller_count}", f"levels {settings.load_shedding}"]
+    parts = [layout, f"controllers {settings.controller_count}", f"levels {settings.load_shedding}"]
     flags = {
         "message cap": settings.message_limit,
         "probes": settings.health_checks,
         "sizes": settings.sizes_stated,
         "asks": settings.list_on_request,
     }
-    return ", ".join(words + [word for word, on in flags.items() if on])
+    return ", ".join(parts + [name for name, on in flags.items() if on])
 
 
 class RecordedDay(Day):
@@ -116,12 +116,12 @@
         self.batch = max(1, self.count // 4)
         self.load = draw.choice((0.35, 0.6, 0.8, 1.3, 1.9))
         self.settings = drawn_settings(draw, layout, self.count, self.proxy_count, self.piece_count)
-        self.kind, self.last_mark = kind_of(layout, self.settings), 0
+        self.kind, self.last_mark = describe_settings(layout, self.settings), 0
 
     def play(self, session: Any, record: Record) -> None:
         """Plays the whole day; `record` gets the orders of each turn."""
         self.record = record
-        self.begin(session, NoRules())
+        self.begin(session, NoRuleChecks())
         if self.draw.below(4) == 3:
             self.begin_with_cached_list()
         self.go(FIRST_MS)
@@ -216,7 +216,7 @@
     def __init__(self, draw: Draw, seed: int) -> None:
         """Draws the settings."""
         self.draw, self.seed, self.settings = draw, seed, wild_settings(draw)
-        self.kind = kind_of("wild", self.settings)
+        self.kind = describe_settings("wild", self.settings)
 
     def play(self, session: Any, record: Record) -> None:
         """Plays the whole day; `record` gets the orders of each turn."""
--- a/benchmarks/_earlier.py
+++ b/benchmarks/_earlier.py
@@ -23,29 +23,29 @@
 
 def commit_of(revision: str) -> str:
     """The full name of a revision's commit."""
-    told = subprocess.run(
+    completed = subprocess.run(
         ["git", "rev-parse", "--verify", "--quiet", "--end-of-options", f"{revision}^{{commit}}"],
         cwd=ROOT,
         capture_output=True,
         text=True,
     )
-    if told.returncode:
+    if completed.returncode:
         raise UnknownRevisionError(f"the history has no {revision}")
-    return told.stdout.strip()
+    return completed.stdout.strip()
 
 
 def extract(revision: str, folder: Path, paths: Sequence[str] = (PACKAGE,)) -> None:
     """Writes files and folders of a revision into a folder."""
-    told = subprocess.run(
+    completed = subprocess.run(
         ["git", "archive", commit_of(revision), *paths], cwd=ROOT, capture_output=True
     )
-    if told.returncode:
+    if completed.returncode:
         raise UnknownRevisionError(f"{revision} has no {' or no '.join(paths)}")
-    with tarfile.open(fileobj=io.BytesIO(told.stdout)) as tar:
+    with tarfile.open(fileobj=io.BytesIO(completed.stdout)) as tar:
         tar.extractall(folder, filter="data")
 
 
-def package(revision: str) -> str:
+def import_revision(revision: str) -> str:
     """Makes `havendyke` of a revision importable as a package of another name, which is
     returned."""
     name = f"earlier_{revision}"
@@ -62,7 +62,7 @@
     return name
 
 
-def compared(
+def compare_speed(
     old: Callable[[], object], new: Callable[[], object], repeats: int = 9
 ) -> dict[str, Any]:
     """Both run in turn, so that what else the machine does strikes both; seconds a run and the
@@ -73,9 +73,9 @@
             began = perf_counter()
             call()
             times[which].append(perf_counter() - began)
-    middle = {which: median(t) for which, t in times.items()}
+    medians = {which: median(t) for which, t in times.items()}
     return {
-        "new_over_old_speed": round(middle["old"] / middle["new"], 3),
+        "new_over_old_speed": round(medians["old"] / medians["new"], 3),
         "repeats": repeats,
         **{
             f"{which}_ms": [round(1000 * f(t), 3) for f in (min, median, max)]
--- a/benchmarks/_exchange_script.py
+++ b/benchmarks/_exchange_script.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import IO, Any
 
-from ._stand_ins import (
+from ._stub_peers import (
     HOST,
     Collector,
     Discovery,
@@ -26,16 +26,16 @@
     Relay,
     Server,
     Store,
-    resp,
+    resp_command,
 )
 from ._version import VersionError, deployed_command, last_line
 
 RUN_KEY = "run"
 CONFIGURATION_VARIABLE = "ROUTER_CONFIG"
-QUIET_S = 1.5  # longer than the interval between two pushes
-STEP_LIMIT_S = 8.0
-START_LIMIT_S = 10.0
-END_LIMIT_S = 5.0
+QUIET_PERIOD_S = 1.5  # longer than the interval between two pushes
+STEP_TIMEOUT_S = 8.0
+START_TIMEOUT_S = 10.0
+EXIT_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.02
 RELAY, MOVED_RELAY = RELAYS = ("relay", "moved relay")
 SERVERS = tuple(f"s{k}" for k in range(1, 7))
@@ -67,7 +67,7 @@
         return "{}:{}".format(*free.getsockname())
 
 
-def entry(name: str, endpoint: str) -> dict[str, Any]:
+def list_entry(name: str, endpoint: str) -> dict[str, Any]:
     """A server in the endpoint list."""
     number = int(name[1:])
     return {
@@ -86,13 +86,15 @@
     """A collector's report of a server."""
     values = {"az": "a", "host": server, "n": str(attempts), "bad": str(failures)}
     values |= {"avg": "40.0", "window": "500.0", "report": "inflight:2,util:0.40"}
-    return resp("LOAD", *(word for pair in values.items() for word in pair))
+    return resp_command("LOAD", *(word for pair in values.items() for word in pair))
 
 
 def slice_report(number: int, requests: int) -> bytes:
     """A collector's report of a slice."""
     values = {"partition": str(number), "kind": "lookup", "n": str(requests), "bad": "0"}
-    return resp("SHARD", *(word for pair in values.items() for word in pair), "window", "500.0")
+    return resp_command(
+        "SHARD", *(word for pair in values.items() for word in pair), "window", "500.0"
+    )
 
 
 @dataclass
@@ -100,7 +102,7 @@
     """The assigner of one version with its configuration's file."""
 
     folder: Path
-    configuration: Path
+    config_file: Path
     listen: str
     process: subprocess.Popen[bytes] | None = None
     stderr: IO[bytes] | None = None
@@ -117,14 +119,14 @@
                 "settings": SETTINGS,
             }
         )
-        self.configuration.write_text(text)
+        self.config_file.write_text(text)
 
     @contextmanager
     def running(self) -> Iterator[subprocess.Popen[bytes]]:
         """The process, by the `run` command of the version's own deploy file."""
         environment = {
             **os.environ,
-            CONFIGURATION_VARIABLE: str(self.configuration),
+            CONFIGURATION_VARIABLE: str(self.config_file),
             "PYTHONHASHSEED": "0",
         }
         with (
@@ -176,7 +178,7 @@
         for listener in self.listeners:
             await listener.start()
         for name, server in self.servers.items():
-            self.discovery.entries[name] = entry(name, server.address)
+            self.discovery.entries[name] = list_entry(name, server.address)
         self.program.write(self.discovery, self.relay)
         self.recorder.step = steps[0]
         try:
@@ -187,23 +189,23 @@
                 listener.close()
 
     async def _play_steps(self, steps: Sequence[str], process: subprocess.Popen[bytes]) -> int:
-        await self._listens(process)
+        await self._wait_until_listening(process)
         for name in steps:
             self.recorder.step = name
             await STEPS[name](self)
-            await self._quiet()
+            await self._wait_until_quiet()
         process.send_signal(signal.SIGTERM)
         try:
-            return await asyncio.to_thread(process.wait, END_LIMIT_S)
+            return await asyncio.to_thread(process.wait, EXIT_TIMEOUT_S)
         except subprocess.TimeoutExpired as error:
             raise VersionError("it does not end") from error
 
-    async def _quiet(self) -> None:
+    async def _wait_until_quiet(self) -> None:
         """Waits until the relays have received nothing for a while."""
         loop = asyncio.get_running_loop()
-        limit = loop.time() + STEP_LIMIT_S
+        limit = loop.time() + STEP_TIMEOUT_S
         calls, quiet_since = self._relay_messages(), loop.time()
-        while loop.time() < min(limit, quiet_since + QUIET_S):
+        while loop.time() < min(limit, quiet_since + QUIET_PERIOD_S):
             await asyncio.sleep(POLL_INTERVAL_S)
             if self._relay_messages() != calls:
                 calls, quiet_since = self._relay_messages(), loop.time()
@@ -211,10 +213,10 @@
     def _relay_messages(self) -> int:
         return sum(message.peer in RELAYS for message in self.recorder.messages)
 
-    async def _listens(self, process: subprocess.Popen[bytes]) -> None:
+    async def _wait_until_listening(self, process: subprocess.Popen[bytes]) -> None:
         """Waits until the assigner can be connected to."""
         loop = asyncio.get_running_loop()
-        limit = loop.time() + START_LIMIT_S
+        limit = loop.time() + START_TIMEOUT_S
         while True:
             try:
                 await (await self._connect("newcomer")).close()
@@ -237,15 +239,17 @@
     async def report_loads(self) -> None:
         """A collector reports; a message is malformed, and another names an unknown server."""
         self.collector = await self._connect("collector")
-        self.collector.send(resp("SOURCE", "az", "a"), resp("PING"))
+        self.collector.send(resp_command("SOURCE", "az", "a"), resp_command("PING"))
         self.collector.send(*(load_report(name, 60, 0) for name in SERVERS))
         self.collector.send(*(slice_report(number, 60) for number in range(4)))
-        self.collector.send(resp("LOAD", "az", "a"), load_report("unknown", 9, 0), resp("PING"))
+        self.collector.send(
+            resp_command("LOAD", "az", "a"), load_report("unknown", 9, 0), resp_command("PING")
+        )
 
-    async def refuse_stranger(self) -> None:
+    async def send_unknown_command(self) -> None:
         """Somebody sends what no collector sends."""
         stranger = await self._connect("stranger")
-        stranger.send(resp("WHO"))
+        stranger.send(resp_command("WHO"))
 
     async def replace_proxy(self) -> None:
         """A proxy connects and another one leaves."""
@@ -254,11 +258,11 @@
 
     async def drain_server(self) -> None:
         """A server of a slice drains."""
-        self.discovery.change(s1="terminating")
+        self.discovery.update_states(s1="terminating")
 
     async def remove_server(self) -> None:
         """The drained server is gone."""
-        self.discovery.change(s1="terminated")
+        self.discovery.update_states(s1="terminated")
 
     async def fail_server(self) -> None:
         """All attempts at a server fail, and its health checks."""
@@ -268,32 +272,32 @@
 
     async def break_call(self) -> None:
         """The relay ends the connection of the next call and does not carry the call out."""
-        self.relay.breaks_next_call = True
-        self.discovery.change(s3="terminating")
+        self.relay.closes_on_next_call = True
+        self.discovery.update_states(s3="terminating")
 
-    async def move_slice(self) -> None:
+    async def reassign_slice(self) -> None:
         """A slice is withdrawn and comes back with another table."""
-        self.relay.withdraw_slice(3)
-        await self._quiet()
-        self.relay.grant_slice(3, {"s5": 1.0})
+        self.relay.unassign_slice(3)
+        await self._wait_until_quiet()
+        self.relay.assign_slice(3, {"s5": 1.0})
 
-    async def move_relay(self) -> None:
+    async def change_relay_address(self) -> None:
         """The configuration names another address of the relay, and a server drains."""
         self.program.write(self.discovery, self.moved_relay)
         self.program.signal(signal.SIGHUP)
-        await self._quiet()
-        self.discovery.change(s4="terminating", s5="terminating")
+        await self._wait_until_quiet()
+        self.discovery.update_states(s4="terminating", s5="terminating")
 
 
 STEPS: dict[str, Callable[[Exchange], Awaitable[None]]] = {
     "start": Exchange.begin,
     "load reports": Exchange.report_loads,
-    "stranger": Exchange.refuse_stranger,
+    "stranger": Exchange.send_unknown_command,
     "proxy replaced": Exchange.replace_proxy,
     "server drains": Exchange.drain_server,
     "server gone": Exchange.remove_server,
     "server fails": Exchange.fail_server,
     "call broken": Exchange.break_call,
-    "slice moved": Exchange.move_slice,
-    "relay moved": Exchange.move_relay,
+    "slice moved": Exchange.reassign_slice,
+    "relay moved": Exchange.change_relay_address,
 }
--- a/benchmarks/_former.py
+++ b/benchmarks/_former.py
@@ -43,7 +43,7 @@
     "connection_capacity": "connections",
     "connection_idle_ms": "connection_rest",
 }
-FORMER_WORDS: dict[object, str] = {
+FORMER_VALUES: dict[object, str] = {
     interface.ListScope.COMPLETE: "whole",
     interface.ListScope.CHANGES: "changes",
     interface.ServerState.READY: "ready",
@@ -76,7 +76,7 @@
 
     def make(self, name: str, *values: Any) -> Any:
         """A message or another value of the interface, by its present name."""
-        return self.types[name](*(self._word(value) for value in values))
+        return self.types[name](*(self._version_value(value) for value in values))
 
     def settings(self, **values: Any) -> Any:
         """Settings; those that the version does not have are left out."""
@@ -90,12 +90,12 @@
         """A controller of the version."""
         return VersionController(self._controller_type(settings, seed))
 
-    def _word(self, value: Any) -> Any:
-        return FORMER_WORDS[value] if self._former and _is_word(value) else value
+    def _version_value(self, value: Any) -> Any:
+        return FORMER_VALUES[value] if self._former and _has_former_value(value) else value
 
 
-def _is_word(value: object) -> bool:
-    return isinstance(value, str) and value in FORMER_WORDS
+def _has_former_value(value: object) -> bool:
+    return isinstance(value, str) and value in FORMER_VALUES
 
 
 class VersionController:
--- a/benchmarks/_soak_log.py
+++ b/benchmarks/_soak_log.py
@@ -6,12 +6,12 @@
 
 from havendyke.events import EVENTS
 
-DEFECTS = ("failure", "reconciliation_failed", "order_without_form")
+DEFECT_EVENTS = ("failure", "reconciliation_failed", "order_without_form")
 # Events by which a peer is away, and by which it is back.
 PEER_LOST = {"relay_unavailable": "relay", "discovery_lost": "discovery"}
-PEER_BACK = {"relay_available": "relay", "discovery_back": "discovery"}
+PEER_RECOVERED = {"relay_available": "relay", "discovery_back": "discovery"}
 # Fields of the last summary that must be 0 at rest.
-ZERO_AT_REST = ("without_endpoint", "unpublished")
+ZERO_WHEN_SETTLED = ("without_endpoint", "unpublished")
 MAX_QUOTED_CHARS = 300
 
 
@@ -27,26 +27,26 @@
     names = [entry["event"] for entry in logged]
     faults += [f"an event that the register lacks: {name}" for name in set(names) - set(EVENTS)]
     faults += [f"a defect: {entry}"[:MAX_QUOTED_CHARS] for entry in logged if is_defect(entry)]
-    faults += [f"at rest the {peer} is away" for peer in peers_away(names)]
-    return faults + unhealed(logged)
+    faults += [f"at rest the {peer} is away" for peer in unavailable_peers(names)]
+    return faults + nonzero_summary_fields(logged)
 
 
 def is_defect(entry: dict[str, Any]) -> bool:
     """Whether the on-call page calls the event a defect of the program."""
-    return entry["event"] in DEFECTS
+    return entry["event"] in DEFECT_EVENTS
 
 
-def peers_away(names: Iterable[str]) -> set[str]:
+def unavailable_peers(names: Iterable[str]) -> set[str]:
     """The peers that were lost last and did not come back."""
     away: set[str] = set()
     for name in names:
         away |= {PEER_LOST[name]} if name in PEER_LOST else set()
-        away -= {PEER_BACK[name]} if name in PEER_BACK else set()
+        away -= {PEER_RECOVERED[name]} if name in PEER_RECOVERED else set()
     return away
 
 
-def unhealed(logged: Sequence[dict[str, Any]]) -> list[str]:
+def nonzero_summary_fields(logged: Sequence[dict[str, Any]]) -> list[str]:
     """What the last summary of the fleet still counts."""
     summaries = [entry for entry in logged if entry["event"] == "fleet_summary"]
     last = summaries[-1] if summaries else {}
-    return [f"at rest {name} is {last[name]}" for name in ZERO_AT_REST if last.get(name)]
+    return [f"at rest {name} is {last[name]}" for name in ZERO_WHEN_SETTLED if last.get(name)]
--- a/benchmarks/_soak_peers.py
+++ b/benchmarks/_soak_peers.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Any
 
-from ._stand_ins import Discovery, Recorder, Relay, Store, line, resp
+from ._stub_peers import Discovery, Recorder, Relay, Store, json_line, resp_command
 
 BUSY_MESSAGE = "BUSY"
 UNREADABLE_REPLY = b"{]\n"
@@ -15,7 +15,7 @@
 READ_BYTES = 65_536
 
 
-JUNK_NOTIFICATIONS = (
+INVALID_NOTIFICATIONS = (
     b"{]",
     b"\x00\xff",
     b'{"method":["SUBSCRIBE"]}',
@@ -26,22 +26,22 @@
 )
 
 
-class CallEnding(Enum):
+class CallOutcome(Enum):
     """How the relay ends a call; a call that is not carried out leaves the store as it is."""
 
     ANSWERED = "answered"
-    CUT_CARRIED_OUT = "cut, carried out"
-    CUT_DROPPED = "cut, dropped"
-    SILENT_CARRIED_OUT = "silent, carried out"
+    CLOSED_APPLIED = "cut, carried out"
+    CLOSED_DROPPED = "cut, dropped"
+    SILENT_APPLIED = "silent, carried out"
     SILENT_DROPPED = "silent, dropped"
-    UNREADABLE_CARRIED_OUT = "unreadable reply, carried out"
+    UNREADABLE_APPLIED = "unreadable reply, carried out"
     UNREADABLE_DROPPED = "unreadable reply, dropped"
     BUSY = "busy"
 
     @property
-    def carries_out(self) -> bool:
+    def applies_orders(self) -> bool:
         """Whether the orders take effect."""
-        return self is CallEnding.ANSWERED or self.value.endswith("carried out")
+        return self is CallOutcome.ANSWERED or self.value.endswith("carried out")
 
 
 class FailingRelay(Relay):
@@ -50,7 +50,7 @@
     def __init__(self, name: str, recorder: Recorder, store: Store) -> None:
         """Answers every call until `endings` has some."""
         super().__init__(name, recorder, store)
-        self.endings: list[CallEnding] = []
+        self.call_outcomes: list[CallOutcome] = []
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answers requests until the other side ends the connection, or an ending does."""
@@ -59,45 +59,45 @@
             if request["method"] == "relay.watch":
                 await self._serve_watch(request["id"], reader, writer)
                 return
-            ending = self.endings.pop(0) if self.endings else CallEnding.ANSWERED
-            if not await self._end_call(ending, request, reader, writer):
+            outcome = self.call_outcomes.pop(0) if self.call_outcomes else CallOutcome.ANSWERED
+            if not await self._finish_call(outcome, request, reader, writer):
                 return
 
-    def cut_watches(self, count: int) -> None:
+    def reset_watches(self, count: int) -> None:
         """Resets so many of the connections that carry the watch."""
         for writer in list(self._watchers)[:count]:
             writer.transport.abort()
 
-    def say_junk(self, text: bytes) -> None:
+    def send_invalid_notification(self, text: bytes) -> None:
         """Says this on the first connection that carries the watch."""
         for writer in list(self._watchers)[:1]:
             writer.write(text + b"\n")
 
-    async def _end_call(
+    async def _finish_call(
         self,
-        ending: CallEnding,
+        outcome: CallOutcome,
         request: dict[str, Any],
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
         """Ends a call; returns whether the connection is still of use."""
-        if ending is CallEnding.ANSWERED:
+        if outcome is CallOutcome.ANSWERED:
             self._answer_call(request, writer)
             return True
-        if ending is CallEnding.BUSY:
+        if outcome is CallOutcome.BUSY:
             error = {"code": 1, "message": BUSY_MESSAGE}
-            writer.write(line({"jsonrpc": "2.0", "id": request["id"], "error": error}))
+            writer.write(json_line({"jsonrpc": "2.0", "id": request["id"], "error": error}))
             return True
-        if ending.carries_out:
-            self._answer_call(request, _Nowhere())  # type: ignore[arg-type]
-        if ending.value.startswith("unreadable"):
+        if outcome.applies_orders:
+            self._answer_call(request, _DiscardingWriter())  # type: ignore[arg-type]
+        if outcome.value.startswith("unreadable"):
             writer.write(UNREADABLE_REPLY)
-        if not ending.value.startswith("cut"):
+        if not outcome.value.startswith("cut"):
             await reader.read(1)
         return False
 
 
-class _Nowhere:
+class _DiscardingWriter:
     """Takes the reply that is not to arrive."""
 
     def write(self, data: bytes) -> None:
@@ -107,7 +107,7 @@
 class FailingDiscovery(Discovery):
     """Discovery whose watches can be cut, and whose next change may be spoilt."""
 
-    def cut_watches(self, count: int) -> None:
+    def reset_watches(self, count: int) -> None:
         """Resets so many watches."""
         for writer in list(self._watchers)[:count]:
             writer.transport.abort()
@@ -115,14 +115,14 @@
     def restart_server(self, name: str, boot_ms: float) -> None:
         """A server is ready again after a start just now."""
         self.entries[name]["boot_ms"] = boot_ms
-        self.change(**{name: "in_service"})
+        self.update_states(**{name: "in_service"})
 
-    def spoil_change(self, name: str) -> None:
+    def send_unreadable_change(self, name: str) -> None:
         """Notifies the watches of an entry that cannot be read."""
         entry = self.entries[name]
         self.entries[name] = {**entry, "boot_ms": "soon"}
         self.revision += 1
-        data = self._object(complete=False, names=[name])
+        data = self._list_message(complete=False, names=[name])
         self.entries[name] = entry
         for writer in self._watchers:
             writer.write(b"%x\r\n%s\r\n" % (len(data), data))
@@ -139,7 +139,7 @@
         self.answered = 0
         self._reader = reader
         self._writer = writer
-        writer.write(resp("SOURCE", "az", zone))
+        writer.write(resp_command("SOURCE", "az", zone))
         self._reading = asyncio.create_task(self._read())
 
     @property
@@ -151,23 +151,23 @@
         """Reports, and asks whether the assigner is alive."""
         self.sent += 1
         with suppress(ConnectionError):
-            self._writer.write(b"".join(reports) + resp("PING"))
+            self._writer.write(b"".join(reports) + resp_command("PING"))
 
     def close(self) -> None:
         """Ends the connection."""
         self._writer.transport.abort()
 
     async def _read(self) -> None:
-        rest = b""
+        buffered = b""
         with suppress(ConnectionError):
             while data := await self._reader.read(READ_BYTES):
-                rest += data
-                self.answered += rest.count(PONG)
-                rest = rest[-len(PONG) + 1 :] if PONG not in rest[-len(PONG) :] else b""
+                buffered += data
+                self.answered += buffered.count(PONG)
+                buffered = buffered[-len(PONG) + 1 :] if PONG not in buffered[-len(PONG) :] else b""
 
 
 # What a crowd of strangers says: nothing, half a message, another protocol, an endless length.
-STRANGERS = (
+UNKNOWN_CLIENT_DATA = (
     b"",
     b"*1\r\n$4\r\nPI",
     b"\x00\xff\x00garbage\r\n",
@@ -177,7 +177,7 @@
 )
 
 
-async def is_turned_away(connect: Callable[[], Any], said: bytes, limit_s: float) -> bool:
+async def is_answered_or_closed(connect: Callable[[], Any], said: bytes, limit_s: float) -> bool:
     """Whether a stranger that says this is answered or closed in time."""
     try:
         reader, writer = await connect()
--- a/benchmarks/_soak_life.py
+++ b/benchmarks/_soak_run.py
@@ -21,45 +21,45 @@
     RUN_KEY,
     SERVERS,
     SETTINGS,
-    entry,
     free_address,
+    list_entry,
     load_report,
     slice_report,
 )
 from ._soak_log import log_faults
 from ._soak_peers import (
-    JUNK_NOTIFICATIONS,
-    STRANGERS,
-    CallEnding,
+    INVALID_NOTIFICATIONS,
+    UNKNOWN_CLIENT_DATA,
+    CallOutcome,
     FailingDiscovery,
     FailingRelay,
     PingingCollector,
-    is_turned_away,
+    is_answered_or_closed,
 )
-from ._stand_ins import Recorder, Server, Store
+from ._stub_peers import Recorder, Server, Store
 from ._version import deployed_command
 
 OPERATOR_VARIABLE = "HAVENDYKE_OPERATOR"
-SEEDS_PER_NETWORK = 250
+SEEDS_PER_SUBNET = 250
 SLICES = 8
-READY_LIMIT_S = 30.0
+READY_TIMEOUT_S = 30.0
 PING_INTERVAL_S = 0.2
-PING_LIMIT_S = 3.0
-STRANGER_LIMIT_S = 6.0
-KILL_AFTER_S = 0.7  # from SIGTERM: the page's earliest
-REST_S = 6.0
-SETTLE_S = 1.5
-MOVED_CLOSES_AFTER_S = 1.5
-MAX_STEP_PAUSE_S = 0.6
-CROWD = 200
-STATE_DAMAGE_SHARE = 0.4
-EXTRA_DESCRIPTORS = 12  # at rest, beyond those at the first rest: health checks come and go
-EXTRA_MEMORY_KB = 12_000
+PING_TIMEOUT_S = 3.0
+UNKNOWN_CLIENT_TIMEOUT_S = 6.0
+EXIT_TIMEOUT_S = 0.7  # from SIGTERM: the page's earliest
+SETTLE_S = 6.0
+RESYNC_S = 1.5
+OLD_RELAY_CLOSE_DELAY_S = 1.5
+MAX_STEP_INTERVAL_S = 0.6
+UNKNOWN_CLIENT_COUNT = 200
+STATE_DAMAGE_PROBABILITY = 0.4
+MAX_EXTRA_DESCRIPTORS = 12  # at rest, beyond those at the first rest: health checks come and go
+MAX_EXTRA_MEMORY_KB = 12_000
 STATE_DAMAGES = ("torn log", "junk snapshot", "foreign names", "pipe")
 
 
 @dataclass
-class LifeReport:
+class RunReport:
     """What one life showed."""
 
     ready_s: float = 0.0
@@ -67,7 +67,7 @@
     faults: list[str] = field(default_factory=list)
 
 
-class Scene:
+class Scenario:
     """The platform, the files and the draws of one seed, over several lives."""
 
     def __init__(self, folder: Path, seed: int) -> None:
@@ -76,7 +76,7 @@
         self.folder = folder
         # On a loopback address of its own: at the common one, another seed's stand-in might take
         # the port between two lives.
-        host = f"127.0.{1 + seed // SEEDS_PER_NETWORK}.{1 + seed % SEEDS_PER_NETWORK}"
+        host = f"127.0.{1 + seed // SEEDS_PER_SUBNET}.{1 + seed % SEEDS_PER_SUBNET}"
         self.listen = f"{host}:{free_address().rpartition(':')[2]}"
         recorder = Recorder()
         self.store = Store(
@@ -87,7 +87,7 @@
         self.relay = self.relays[0]
         self.discovery = FailingDiscovery(recorder)
         self.servers = {name: Server(name, recorder) for name in SERVERS}
-        self.keeps_state = self.random.random() < 0.5
+        self.persists_state = self.random.random() < 0.5
         self.state_folder = folder / "state"
 
     async def start(self) -> None:
@@ -95,7 +95,7 @@
         for listener in (self.relay, self.discovery, *self.servers.values()):
             await listener.start()
         for name, server in self.servers.items():
-            self.discovery.entries[name] = entry(name, server.address)
+            self.discovery.entries[name] = list_entry(name, server.address)
         self.write_configuration()
         text = f"[state]\nfolder {self.state_folder}\n"
         (self.folder / "operator.conf").write_text(text)
@@ -106,7 +106,7 @@
             listener.close()
 
     @property
-    def configuration(self) -> Path:
+    def config_file(self) -> Path:
         """The configuration's file."""
         return self.folder / "config.json"
 
@@ -124,11 +124,11 @@
         )
         new = self.folder / "config.new"
         new.write_text(text)
-        new.replace(self.configuration)
+        new.replace(self.config_file)
 
     def damage_state(self) -> str:
         """Does to the state folder what disks and people do between two lives."""
-        kinds = [kind for kind in STATE_DAMAGES if self.random.random() < STATE_DAMAGE_SHARE]
+        kinds = [kind for kind in STATE_DAMAGES if self.random.random() < STATE_DAMAGE_PROBABILITY]
         logs = [path for path in self.state_folder.glob("log-*") if path.name[4:].isdigit()]
         if not logs:
             return "none yet"
@@ -151,28 +151,28 @@
                 os.mkfifo(self.state_folder / f"snapshot-{newest + 1}")
 
 
-class Life:
+class ProgramRun:
     """One run of the program among the stand-ins of a scene."""
 
-    def __init__(self, scene: Scene, seconds: float) -> None:
+    def __init__(self, scenario: Scenario, seconds: float) -> None:
         """`seconds`: how long faults go on."""
-        self.scene = scene
-        self.report = LifeReport()
+        self.scenario = scenario
+        self.report = RunReport()
         self._seconds = seconds
-        self._random = scene.random
+        self._random = scenario.random
         self._collectors: list[PingingCollector] = []
         self._process: subprocess.Popen[bytes] | None = None
-        self._pinging = True
-        self._rested_at = 0  # bytes of the log
+        self._keep_pinging = True
+        self._settled_offset = 0  # bytes of the log
 
-    async def run(self) -> LifeReport:
+    async def run(self) -> RunReport:
         """Plays the life and returns what it showed."""
-        if self.scene.keeps_state:
-            self.report.steps.append(f"state folder: {self.scene.damage_state()}")
+        if self.scenario.persists_state:
+            self.report.steps.append(f"state folder: {self.scenario.damage_state()}")
         with tempfile.TemporaryFile() as stderr:
             self._start(stderr)
             try:
-                await self._play(stderr)
+                await self._run_program(stderr)
             finally:
                 assert self._process
                 self._process.kill()
@@ -183,16 +183,16 @@
         self._check_state()
         return self.report
 
-    def _fault(self, text: str) -> None:
+    def _add_fault(self, text: str) -> None:
         self.report.faults.append(text)
 
     # Start and end
 
     def _start(self, stderr: IO[bytes]) -> None:
-        environment = {**os.environ, CONFIGURATION_VARIABLE: str(self.scene.configuration)}
+        environment = {**os.environ, CONFIGURATION_VARIABLE: str(self.scenario.config_file)}
         environment.pop(OPERATOR_VARIABLE, None)
-        if self.scene.keeps_state:
-            environment[OPERATOR_VARIABLE] = str(self.scene.folder / "operator.conf")
+        if self.scenario.persists_state:
+            environment[OPERATOR_VARIABLE] = str(self.scenario.folder / "operator.conf")
         self._process = subprocess.Popen(
             deployed_command(ROOT, RUN_KEY),
             shell=True,
@@ -203,41 +203,43 @@
             stderr=stderr,
         )
 
-    async def _play(self, stderr: IO[bytes]) -> None:
+    async def _run_program(self, stderr: IO[bytes]) -> None:
         early = self._random.random() < 0.3
         if early:
-            await self._program_runs()
-            self._signals(signal.SIGHUP, signal.SIGUSR1, signal.SIGHUP)
-        if not await self._becomes_ready():
+            await self._wait_for_program()
+            self._send_signals(signal.SIGHUP, signal.SIGUSR1, signal.SIGHUP)
+        if not await self._wait_until_ready():
             return
-        pinging = asyncio.create_task(self._ping())
-        await asyncio.sleep(REST_S / 2)
-        descriptors, memory_kb = self._descriptors(), self._memory_kb()
-        await self._faults()
-        await self._rest()
-        if self._descriptors() > descriptors + EXTRA_DESCRIPTORS:
-            self._fault(f"descriptors: {descriptors} before, {self._descriptors()} at rest")
-        if self._memory_kb() > memory_kb + EXTRA_MEMORY_KB:
-            self._fault(f"memory: {memory_kb} KB before, {self._memory_kb()} at rest")
-        self._check_agreement()
+        pinging = asyncio.create_task(self._ping_collectors())
+        await asyncio.sleep(SETTLE_S / 2)
+        descriptors, memory_kb = self._descriptor_count(), self._memory_kb()
+        await self._inject_faults()
+        await self._settle()
+        if self._descriptor_count() > descriptors + MAX_EXTRA_DESCRIPTORS:
+            self._add_fault(
+                f"descriptors: {descriptors} before, {self._descriptor_count()} at rest"
+            )
+        if self._memory_kb() > memory_kb + MAX_EXTRA_MEMORY_KB:
+            self._add_fault(f"memory: {memory_kb} KB before, {self._memory_kb()} at rest")
+        self._check_tables()
         # Read back, a table that is not the one believed is one line of the log.
-        self._rested_at = stderr.seek(0, os.SEEK_END)
-        self.scene.relay.cut_watches(1)
-        await asyncio.sleep(SETTLE_S)
-        await self._end()
-        self._pinging = False
+        self._settled_offset = stderr.seek(0, os.SEEK_END)
+        self.scenario.relay.reset_watches(1)
+        await asyncio.sleep(RESYNC_S)
+        await self._terminate()
+        self._keep_pinging = False
         await pinging
 
-    async def _program_runs(self) -> None:
+    async def _wait_for_program(self) -> None:
         """Waits until the shell has given way to the program: before, signals are the shell's."""
         assert self._process
         command = Path(f"/proc/{self._process.pid}/cmdline")
         while b"havendyke\0" not in command.read_bytes() or b"trap" in command.read_bytes():
             await asyncio.sleep(0.001)
 
-    async def _becomes_ready(self) -> bool:
+    async def _wait_until_ready(self) -> bool:
         began = time.monotonic()
-        while time.monotonic() - began < READY_LIMIT_S:
+        while time.monotonic() - began < READY_TIMEOUT_S:
             with suppress(OSError):
                 await self._connect_collector("a")
                 await self._connect_collector("b")
@@ -245,13 +247,13 @@
                 return True
             assert self._process
             if self._process.poll() is not None:
-                self._fault(f"ended at its start with status {self._process.returncode}")
+                self._add_fault(f"ended at its start with status {self._process.returncode}")
                 return False
             await asyncio.sleep(0.01)
-        self._fault("not ready in 30 s")
+        self._add_fault("not ready in 30 s")
         return False
 
-    async def _end(self) -> None:
+    async def _terminate(self) -> None:
         """SIGTERM, others with it; collectors go on until the kill."""
         assert self._process
         series = self._random.choice(
@@ -263,16 +265,16 @@
             )
         )
         self.report.steps.append(f"end: {' '.join(number.name for number in series)}")
-        self._signals(*series)
+        self._send_signals(*series)
         try:
-            status = await asyncio.to_thread(self._process.wait, KILL_AFTER_S)
+            status = await asyncio.to_thread(self._process.wait, EXIT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
-            self._fault(f"still there {KILL_AFTER_S} s after its end was asked for")
+            self._add_fault(f"still there {EXIT_TIMEOUT_S} s after its end was asked for")
             return
         if status != 0:
-            self._fault(f"exit status {status}")
+            self._add_fault(f"exit status {status}")
 
-    def _signals(self, *numbers: signal.Signals) -> None:
+    def _send_signals(self, *numbers: signal.Signals) -> None:
         for number in numbers:
             if self._process and self._process.poll() is None:
                 self._process.send_signal(number)
@@ -280,21 +282,21 @@
     # Collectors
 
     async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        host, _, port = self.scene.listen.rpartition(":")
+        host, _, port = self.scenario.listen.rpartition(":")
         return await asyncio.open_connection(host, int(port))
 
     async def _connect_collector(self, zone: str) -> None:
         self._collectors.append(PingingCollector(zone, *await self._connect()))
 
-    async def _ping(self) -> None:
+    async def _ping_collectors(self) -> None:
         """Each collector reports and asks PING; an answer that is late is a fault."""
         behind_since: dict[PingingCollector, float] = {}
-        while self._pinging:
+        while self._keep_pinging:
             for collector in [c for c in self._collectors if c.is_open]:
                 if collector.answered < collector.sent:
                     since = behind_since.setdefault(collector, time.monotonic())
-                    if time.monotonic() - since > PING_LIMIT_S:
-                        self._fault("a collector's PING was not answered in time")
+                    if time.monotonic() - since > PING_TIMEOUT_S:
+                        self._add_fault("a collector's PING was not answered in time")
                         behind_since.pop(collector)
                         collector.answered = collector.sent
                 else:
@@ -307,125 +309,135 @@
 
     # Faults
 
-    async def _faults(self) -> None:
+    async def _inject_faults(self) -> None:
         ends = time.monotonic() + self._seconds
         steps = list(STEPS)
         if self._random.random() < 1 / 3:
-            await self._step("crowd")
+            await self._run_step("crowd")
         while time.monotonic() < ends:
-            await self._step(self._random.choice(steps))
-            await asyncio.sleep(self._random.random() * MAX_STEP_PAUSE_S)
+            await self._run_step(self._random.choice(steps))
+            await asyncio.sleep(self._random.random() * MAX_STEP_INTERVAL_S)
 
-    async def _step(self, name: str) -> None:
+    async def _run_step(self, name: str) -> None:
         self.report.steps.append(name)
-        await (STEPS | {"crowd": Life.crowd})[name](self)
+        await (STEPS | {"crowd": ProgramRun.connect_unknown_clients})[name](self)
 
     async def break_calls(self) -> None:
         """The next calls end in drawn ways, and a server drains so that there are some."""
-        endings = [self._random.choice(list(CallEnding)) for _ in range(3)]
-        self.report.steps += [ending.value for ending in endings]
-        self.scene.relay.endings += endings
-        await self.drain()
+        call_outcomes = [self._random.choice(list(CallOutcome)) for _ in range(3)]
+        self.report.steps += [outcome.value for outcome in call_outcomes]
+        self.scenario.relay.call_outcomes += call_outcomes
+        await self.drain_server()
 
-    async def drain(self) -> None:
+    async def drain_server(self) -> None:
         """A server drains, and comes back after a start."""
         name = self._random.choice(SERVERS)
-        self.scene.discovery.change(**{name: "terminating"})
+        self.scenario.discovery.update_states(**{name: "terminating"})
         await asyncio.sleep(self._random.random())
-        self.scene.discovery.restart_server(name, round(time.time() * 1000))
+        self.scenario.discovery.restart_server(name, round(time.time() * 1000))
 
-    async def cut_relay_watches(self) -> None:
+    async def reset_relay_watches(self) -> None:
         """One watch of the relay breaks, or both."""
-        self.scene.relay.cut_watches(self._random.choice((1, 2)))
+        self.scenario.relay.reset_watches(self._random.choice((1, 2)))
 
-    async def relay_says_junk(self) -> None:
+    async def send_invalid_notification(self) -> None:
         """The relay's watch brings a message that no protocol has."""
-        self.scene.relay.say_junk(self._random.choice(JUNK_NOTIFICATIONS))
+        self.scenario.relay.send_invalid_notification(self._random.choice(INVALID_NOTIFICATIONS))
 
-    async def cut_discovery_watches(self) -> None:
+    async def reset_discovery_watches(self) -> None:
         """One watch of discovery breaks, or both."""
-        self.scene.discovery.cut_watches(self._random.choice((1, 2)))
+        self.scenario.discovery.reset_watches(self._random.choice((1, 2)))
 
-    async def spoil_list(self) -> None:
+    async def send_unreadable_list_change(self) -> None:
         """A change of the list cannot be read."""
-        self.scene.discovery.spoil_change(self._random.choice(SERVERS))
+        self.scenario.discovery.send_unreadable_change(self._random.choice(SERVERS))
 
     async def replace_proxy(self) -> None:
         """A proxy leaves and comes back."""
         proxy = self._random.choice((1, 2, 3))
-        self.scene.relay.disconnect_proxy(proxy)
+        self.scenario.relay.disconnect_proxy(proxy)
         await asyncio.sleep(self._random.random() / 2)
-        self.scene.relay.connect_proxy(proxy, "ab"[proxy % 2])
+        self.scenario.relay.connect_proxy(proxy, "ab"[proxy % 2])
 
     async def reassign_slice(self) -> None:
         """A slice is withdrawn and given back."""
         number = self._random.randrange(SLICES)
-        table = self.scene.relay.withdraw_slice(number)
+        table = self.scenario.relay.unassign_slice(number)
         await asyncio.sleep(self._random.random() / 2)
-        self.scene.relay.grant_slice(number, table)
+        self.scenario.relay.assign_slice(number, table)
 
-    async def move_relay(self) -> None:
+    async def change_relay_address(self) -> None:
         """SIGHUP moves the relay; the old address closes its connections 1.5 s later."""
-        former = self.scene.relay
-        self.scene.relay = next(relay for relay in self.scene.relays if relay is not former)
-        await self.scene.relay.start()
-        self.scene.write_configuration()
-        self._signals(signal.SIGHUP)
-        await asyncio.sleep(MOVED_CLOSES_AFTER_S)
-        former.endings.clear()
-        former.close()
-
-    async def torn_configuration(self) -> None:
+        old_relay = self.scenario.relay
+        self.scenario.relay = next(
+            relay for relay in self.scenario.relays if relay is not old_relay
+        )
+        await self.scenario.relay.start()
+        self.scenario.write_configuration()
+        self._send_signals(signal.SIGHUP)
+        await asyncio.sleep(OLD_RELAY_CLOSE_DELAY_S)
+        old_relay.call_outcomes.clear()
+        old_relay.close()
+
+    async def reload_truncated_configuration(self) -> None:
         """SIGHUP while the file is torn, then with a complete one."""
-        whole = self.scene.configuration.read_bytes()
-        self.scene.configuration.write_bytes(whole[: len(whole) // 2])
-        self._signals(signal.SIGHUP)
+        whole = self.scenario.config_file.read_bytes()
+        self.scenario.config_file.write_bytes(whole[: len(whole) // 2])
+        self._send_signals(signal.SIGHUP)
         await asyncio.sleep(0.1)
-        self.scene.write_configuration()
-        self._signals(signal.SIGHUP)
+        self.scenario.write_configuration()
+        self._send_signals(signal.SIGHUP)
 
-    async def signal_series(self) -> None:
+    async def send_signal_series(self) -> None:
         """Signals that change nothing, several at once."""
         numbers = (signal.SIGHUP, signal.SIGUSR1, signal.SIGUSR2)
-        self._signals(*(self._random.choice(numbers) for _ in range(5)))
+        self._send_signals(*(self._random.choice(numbers) for _ in range(5)))
 
     async def fail_server(self) -> None:
         """A server's health checks fail for a while."""
-        server = self.scene.servers[self._random.choice(SERVERS)]
+        server = self.scenario.servers[self._random.choice(SERVERS)]
         server.healthy = False
         await asyncio.sleep(self._random.random())
         server.healthy = True
 
-    async def crowd(self) -> None:
+    async def connect_unknown_clients(self) -> None:
         """Hundreds of strangers at once; each is answered or closed in time."""
-        turned_away = await asyncio.gather(
+        served = await asyncio.gather(
             *(
-                is_turned_away(self._connect, STRANGERS[k % len(STRANGERS)], STRANGER_LIMIT_S)
-                for k in range(CROWD)
+                is_answered_or_closed(
+                    self._connect,
+                    UNKNOWN_CLIENT_DATA[k % len(UNKNOWN_CLIENT_DATA)],
+                    UNKNOWN_CLIENT_TIMEOUT_S,
+                )
+                for k in range(UNKNOWN_CLIENT_COUNT)
             )
         )
-        if not all(turned_away):
-            self._fault(f"{turned_away.count(False)} strangers kept for {STRANGER_LIMIT_S} s")
+        if not all(served):
+            self._add_fault(
+                f"{served.count(False)} strangers kept for {UNKNOWN_CLIENT_TIMEOUT_S} s"
+            )
 
     # Checks
 
-    async def _rest(self) -> None:
+    async def _settle(self) -> None:
         """Everything works again, and all comes to rest."""
-        for relay in self.scene.relays:
-            relay.endings.clear()
-        self.scene.discovery.change(**dict.fromkeys(SERVERS, "in_service"))
-        await asyncio.sleep(REST_S)
+        for relay in self.scenario.relays:
+            relay.call_outcomes.clear()
+        self.scenario.discovery.update_states(**dict.fromkeys(SERVERS, "in_service"))
+        await asyncio.sleep(SETTLE_S)
         open_ones = [collector for collector in self._collectors if collector.is_open]
         if len(open_ones) < len(self._collectors):
-            self._fault(f"{len(self._collectors) - len(open_ones)} named collectors were closed")
+            self._add_fault(
+                f"{len(self._collectors) - len(open_ones)} named collectors were closed"
+            )
 
-    def _check_agreement(self) -> None:
-        for number, table in self.scene.store.tables.items():
-            usable = [name for name in table if name not in self.scene.store.ejected]
+    def _check_tables(self) -> None:
+        for number, table in self.scenario.store.tables.items():
+            usable = [name for name in table if name not in self.scenario.store.ejected]
             if not usable:
-                self._fault(f"slice {number} has no server at rest: {table}")
+                self._add_fault(f"slice {number} has no server at rest: {table}")
 
-    def _descriptors(self) -> int:
+    def _descriptor_count(self) -> int:
         assert self._process
         return len(os.listdir(f"/proc/{self._process.pid}/fd"))
 
@@ -435,35 +447,35 @@
         return int(next(line.split()[1] for line in lines if line.startswith("VmRSS")))
 
     def _check_log(self, stderr: IO[bytes]) -> None:
-        stderr.seek(self._rested_at)
-        after_rest = stderr.read() if self._rested_at else b""
+        stderr.seek(self._settled_offset)
+        after_rest = stderr.read() if self._settled_offset else b""
         stderr.seek(0)
         self.report.faults += log_faults(stderr.read().decode(errors="replace"))
         if b'"snapshot_differs"' in after_rest:
-            self._fault("at rest the store's tables are not the ones believed")
+            self._add_fault("at rest the store's tables are not the ones believed")
 
     def _check_state(self) -> None:
-        if not self.scene.keeps_state or not self.report.ready_s:
+        if not self.scenario.persists_state or not self.report.ready_s:
             return
         command = [sys.executable, "-m", "havendyke", "state", "verify"]
         verified = subprocess.run(
-            [*command, str(self.scene.state_folder)], cwd=ROOT, capture_output=True, text=True
+            [*command, str(self.scenario.state_folder)], cwd=ROOT, capture_output=True, text=True
         )
         if verified.returncode:
-            self._fault(f"state verify: {verified.stdout.strip()} {verified.stderr.strip()}")
-
-
-STEPS: dict[str, Callable[[Life], Awaitable[None]]] = {
-    "calls break": Life.break_calls,
-    "server drains": Life.drain,
-    "relay watches cut": Life.cut_relay_watches,
-    "relay says junk": Life.relay_says_junk,
-    "discovery watches cut": Life.cut_discovery_watches,
-    "list spoilt": Life.spoil_list,
-    "proxy replaced": Life.replace_proxy,
-    "slice reassigned": Life.reassign_slice,
-    "relay moves": Life.move_relay,
-    "configuration torn": Life.torn_configuration,
-    "signals": Life.signal_series,
-    "server fails": Life.fail_server,
+            self._add_fault(f"state verify: {verified.stdout.strip()} {verified.stderr.strip()}")
+
+
+STEPS: dict[str, Callable[[ProgramRun], Awaitable[None]]] = {
+    "calls break": ProgramRun.break_calls,
+    "server drains": ProgramRun.drain_server,
+    "relay watches cut": ProgramRun.reset_relay_watches,
+    "relay says junk": ProgramRun.send_invalid_notification,
+    "discovery watches cut": ProgramRun.reset_discovery_watches,
+    "list spoilt": ProgramRun.send_unreadable_list_change,
+    "proxy replaced": ProgramRun.replace_proxy,
+    "slice reassigned": ProgramRun.reassign_slice,
+    "relay moves": ProgramRun.change_relay_address,
+    "configuration torn": ProgramRun.reload_truncated_configuration,
+    "signals": ProgramRun.send_signal_series,
+    "server fails": ProgramRun.fail_server,
 }
--- a/benchmarks/_stand_ins.py
+++ b/benchmarks/_stub_peers.py
@@ -14,17 +14,17 @@
 HOST = "127.0.0.1"
 PING_INTERVAL_S = 0.5  # signs of life of the relay and of discovery
 ACK_DELAY_S = 0.02  # from the answer to a call to the proxies' acknowledgements
-STATED_ACK_LATENCY_MS = 5.0
+REPORTED_ACK_LATENCY_MS = 5.0
 # The other side ended it, or sent what the protocol does not have; the recording has its bytes.
-ENDS_OF_CONNECTION = (asyncio.IncompleteReadError, ConnectionError, ValueError, KeyError)
-HEAD_END = b"\r\n\r\n"
-CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+CONNECTION_ERRORS = (asyncio.IncompleteReadError, ConnectionError, ValueError, KeyError)
+HEADER_END = b"\r\n\r\n"
+CHUNKED_RESPONSE_HEADER = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 @dataclass
-class Received:
+class ReceivedMessage:
     """One message as a stand-in received it, and the script's step at that time."""
 
     step: str
@@ -37,11 +37,11 @@
     """All messages that stand-ins have received, in order."""
 
     step: str = ""
-    messages: list[Received] = field(default_factory=list)
+    messages: list[ReceivedMessage] = field(default_factory=list)
 
     def record(self, peer: str, data: bytes) -> None:
         """Notes a message of the current step."""
-        self.messages.append(Received(self.step, peer, data))
+        self.messages.append(ReceivedMessage(self.step, peer, data))
 
 
 class Listener:
@@ -74,7 +74,7 @@
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         try:
-            with suppress(*ENDS_OF_CONNECTION):
+            with suppress(*CONNECTION_ERRORS):
                 await self.handle(reader, writer)
         finally:
             self._writers.discard(writer)
@@ -98,17 +98,17 @@
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answers one request."""
-        head = await reader.readuntil(HEAD_END)
+        head = await reader.readuntil(HEADER_END)
         self.recorder.record(self.name, head)
         path = head.split(b" ")[1].decode()
         if "follow=1" not in path:
-            body = self._object(complete=True, names=self.entries)
+            body = self._list_message(complete=True, names=self.entries)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
             return
         since = int(path.rpartition("since=")[2]) if "since=" in path else -1
-        writer.write(CHUNKED_HEAD)
+        writer.write(CHUNKED_RESPONSE_HEADER)
         if since != self.revision:
-            writer.write(chunk(self._object(complete=True, names=self.entries)))
+            writer.write(chunk(self._list_message(complete=True, names=self.entries)))
         self._watchers.add(writer)
         try:
             while not reader.at_eof():
@@ -118,15 +118,15 @@
         finally:
             self._watchers.discard(writer)
 
-    def change(self, **states: str) -> None:
+    def update_states(self, **states: str) -> None:
         """Gives servers new states and notifies the watches."""
         self.revision += 1
         for name, state in states.items():
             self.entries[name]["state"] = state
         for writer in self._watchers:
-            writer.write(chunk(self._object(complete=False, names=states)))
+            writer.write(chunk(self._list_message(complete=False, names=states)))
 
-    def _object(self, complete: bool, names: Sequence[str] | dict[str, Any]) -> bytes:
+    def _list_message(self, complete: bool, names: Sequence[str] | dict[str, Any]) -> bytes:
         targets = [
             self.entries[name]
             for name in names
@@ -141,7 +141,7 @@
     return {"jsonrpc": "2.0", "method": method, **({"params": params} if params else {})}
 
 
-def line(message: dict[str, object]) -> bytes:
+def json_line(message: dict[str, object]) -> bytes:
     """A message on a line of its own."""
     return json.dumps(message).encode() + b"\n"
 
@@ -154,7 +154,7 @@
     proxies: dict[int, str]  # zones by proxy
     ejected: set[str] = field(default_factory=set)
 
-    def carry_out(self, order: dict[str, Any]) -> None:
+    def apply_order(self, order: dict[str, Any]) -> None:
         """Applies an order to the tables."""
         if order["op"] == "SET":
             self.tables[order["table"]].pop(order["host"], None)
@@ -174,7 +174,7 @@
     def __init__(self, name: str, recorder: Recorder, store: Store) -> None:
         """Serves a store, which may be that of another relay."""
         super().__init__(name, recorder)
-        self.breaks_next_call = False
+        self.closes_on_next_call = False
         self._store = store
         self._watchers: set[asyncio.StreamWriter] = set()
 
@@ -187,42 +187,42 @@
             if request["method"] == "relay.watch":
                 await self._serve_watch(request["id"], reader, writer)
                 return
-            if self.breaks_next_call:
-                self.breaks_next_call = False
+            if self.closes_on_next_call:
+                self.closes_on_next_call = False
                 return
             self._answer_call(request, writer)
 
     def notify(self, method: str, **params: object) -> None:
         """Notifies all watches."""
         for writer in self._watchers:
-            writer.write(line(notification(method, **params)))
+            writer.write(json_line(notification(method, **params)))
 
     def connect_proxy(self, proxy: int, zone: str) -> None:
         """A proxy's stream comes up."""
         self._store.proxies[proxy] = zone
-        self.notify("SUBSCRIBE", **self._subscription(proxy))
+        self.notify("SUBSCRIBE", **self._proxy_params(proxy))
 
     def disconnect_proxy(self, proxy: int) -> None:
         """A proxy's stream goes down."""
         del self._store.proxies[proxy]
         self.notify("CLOSED", sidecar=proxy)
 
-    def withdraw_slice(self, number: int) -> dict[str, float]:
+    def unassign_slice(self, number: int) -> dict[str, float]:
         """Ends the assignment of a slice and returns its table."""
         self.notify("GRANT", partition=number, yes=False)
         return self._store.tables.pop(number)
 
-    def grant_slice(self, number: int, table: dict[str, float]) -> None:
+    def assign_slice(self, number: int, table: dict[str, float]) -> None:
         """Assigns a slice and tells its table."""
         self._store.tables[number] = table
-        for message in self._granted(number):
+        for message in self._assignment_messages(number):
             self.notify(**message)
 
-    def _subscription(self, proxy: int) -> dict[str, object]:
+    def _proxy_params(self, proxy: int) -> dict[str, object]:
         zone = self._store.proxies[proxy]
         return {"sidecar": proxy, "az": zone, "share": 3.0, "standing": True}
 
-    def _granted(self, number: int) -> list[dict[str, Any]]:
+    def _assignment_messages(self, number: int) -> list[dict[str, Any]]:
         rows = self._store.tables[number].items()
         return [
             {"method": "GRANT", "partition": number, "yes": True},
@@ -232,16 +232,16 @@
     async def _serve_watch(
         self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        writer.write(line({"jsonrpc": "2.0", "id": number, "result": True}))
+        writer.write(json_line({"jsonrpc": "2.0", "id": number, "result": True}))
         for proxy in self._store.proxies:
-            writer.write(line(notification("SUBSCRIBE", **self._subscription(proxy))))
+            writer.write(json_line(notification("SUBSCRIBE", **self._proxy_params(proxy))))
         for table in self._store.tables:
-            for message in self._granted(table):
-                writer.write(line(notification(**message)))
+            for message in self._assignment_messages(table):
+                writer.write(json_line(notification(**message)))
         self._watchers.add(writer)
         try:
             while not reader.at_eof():
-                writer.write(line(notification("ping")))
+                writer.write(json_line(notification("ping")))
                 with suppress(TimeoutError):
                     await asyncio.wait_for(reader.read(1), PING_INTERVAL_S)
         finally:
@@ -250,17 +250,17 @@
     def _answer_call(self, request: dict[str, Any], writer: asyncio.StreamWriter) -> None:
         orders = request["params"]["orders"]
         for order in orders:
-            self._store.carry_out(order)
+            self._store.apply_order(order)
             if order["op"] == "SYNC":
                 loop = asyncio.get_running_loop()
                 loop.call_later(ACK_DELAY_S, self._acknowledge, order["nonce_out"])
         writer.write(
-            line({"jsonrpc": "2.0", "id": request["id"], "result": {"taken": len(orders)}})
+            json_line({"jsonrpc": "2.0", "id": request["id"], "result": {"taken": len(orders)}})
         )
 
     def _acknowledge(self, nonce: int) -> None:
         for proxy in self._store.proxies:
-            self.notify("ACK", sidecar=proxy, version=nonce, lag_ms=STATED_ACK_LATENCY_MS)
+            self.notify("ACK", sidecar=proxy, version=nonce, lag_ms=REPORTED_ACK_LATENCY_MS)
 
 
 class Server(Listener):
@@ -271,13 +271,13 @@
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answers one health check."""
-        self.recorder.record(self.name, await reader.readuntil(HEAD_END))
+        self.recorder.record(self.name, await reader.readuntil(HEADER_END))
         status = b"200 OK" if self.healthy else b"500 Error"
         head = b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n" % (status, len(self.body))
         writer.write(head + self.body)
 
 
-def resp(*parts: str) -> bytes:
+def resp_command(*parts: str) -> bytes:
     """A message of a collector."""
     encoded = [part.encode() for part in parts]
     bulks = b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in encoded)
@@ -317,6 +317,6 @@
         await self._reading
 
     async def _read(self) -> None:
-        with suppress(*ENDS_OF_CONNECTION):
+        with suppress(*CONNECTION_ERRORS):
             while data := await self._reader.readline():
                 self._recorder.record(self.name, data)
--- a/benchmarks/_version.py
+++ b/benchmarks/_version.py
@@ -17,12 +17,12 @@
 
 from havendyke import interface
 
-from ._wire import Handles, Message, event_message, nanoseconds, read_order, settings_message
+from ._wire import Handles, Message, decode_order, encode_event, encode_settings, nanoseconds
 
 DEPLOY_FILE = "deploy/balancer.toml"
 SIM_KEY = "sim"
 DEPLOYED_INTERPRETER = ".venv/bin/python"
-INSTANCE = 1  # the controller's number on the wire
+CONTROLLER_ID = 1  # the controller's number on the wire
 
 
 class VersionError(Exception):
@@ -61,17 +61,17 @@
             self._process.stdin.write(line)
             self._process.stdin.flush()
         except OSError:
-            raise self._ended() from None
+            raise self._exit_error() from None
 
     def receive(self) -> bytes:
         """The answer to the batch that was written last."""
         assert self._process.stdout
         line = self._process.stdout.readline()
         if not line.endswith(b"\n"):
-            raise self._ended()
+            raise self._exit_error()
         return line
 
-    def _ended(self) -> VersionError:
+    def _exit_error(self) -> VersionError:
         """Names the last line that the process wrote to standard error."""
         self._process.wait()
         reason = last_line(self._stderr) or "its process ended early"
@@ -126,24 +126,24 @@
         self.serial = 0
         self._exchange = exchange
         self._now_ms = 0.0
-        boot = {"kind": "BOOT", "settings": settings_message(settings), "salt": seed}
-        self._waiting: list[Message] = [boot]
+        boot = {"kind": "BOOT", "settings": encode_settings(settings), "salt": seed}
+        self._pending_messages: list[Message] = [boot]
 
     def reconcile(self, now_ms: float) -> list[interface.Order]:
         """Sends the pending events and returns the orders of the answer."""
-        messages = (event_message(event) for event in self.pending_events)
-        self._waiting += [message for message in messages if message]
+        messages = (encode_event(event) for event in self.pending_events)
+        self._pending_messages += [message for message in messages if message]
         self.pending_events = []
         self._now_ms = now_ms
-        return [read_order(message, self.handles) for message in self._send(now_ms)]
+        return [decode_order(message, self.handles) for message in self._send(now_ms)]
 
     def close(self) -> None:
         """Ends the version's controller, so that the next day begins with a new one."""
-        self._waiting = [{"kind": "TEARDOWN"}]
+        self._pending_messages = [{"kind": "TEARDOWN"}]
         self._send(self._now_ms)
 
     def _send(self, now_ms: float) -> list[Message]:
-        inbox = [{**message, "assignerId": INSTANCE} for message in self._waiting]
+        inbox = [{**message, "assignerId": CONTROLLER_ID} for message in self._pending_messages]
         batch = {"ts": nanoseconds(now_ms), "serial": self.serial, "inbox": inbox}
-        self._waiting, self.serial = [], self.serial + 1
+        self._pending_messages, self.serial = [], self.serial + 1
         return self._exchange(json.dumps(batch, separators=(",", ":")).encode() + b"\n")
--- a/benchmarks/_wire.py
+++ b/benchmarks/_wire.py
@@ -18,38 +18,38 @@
 
 NANOSECONDS_PER_MS = 1e6
 # What the settings' page allows at least.
-LEAST_OBJECTIVE_MS = 1e-3
-LEAST_INTERVAL_MS = 1.0
-LEAST_QUEUE_LIMIT = 1.0
-LEAST_CHANNEL_RATE = 1e-3
+MIN_OBJECTIVE_MS = 1e-3
+MIN_INTERVAL_MS = 1.0
+MIN_QUEUE_LIMIT = 1.0
+MIN_CHANNEL_RATE = 1e-3
 
-IDEMPOTENCY_WORDS = {
+WIRE_IDEMPOTENCY = {
     interface.Idempotency.IDEMPOTENT: "pure",
     interface.Idempotency.KEYED: "token",
     interface.Idempotency.NON_IDEMPOTENT: "side_effect",
 }
-DEDUPLICATION_WORDS = {
+WIRE_DEDUPLICATION_SCOPES = {
     interface.DeduplicationScope.ALL: "all",
     interface.DeduplicationScope.ZONE: "zone",
     interface.DeduplicationScope.CELL: "cell",
 }
-LOAD_SHEDDING_WORDS = {
+WIRE_LOAD_SHEDDING = {
     interface.LoadShedding.NONE: "none",
     interface.LoadShedding.BY_SHARE: "share",
     interface.LoadShedding.BY_RATE: "rate",
 }
-SCOPE_WORDS = {
+WIRE_LIST_SCOPES = {
     interface.ListScope.CHANGES: "Partial",
     interface.ListScope.COMPLETE: "Complete",
     interface.ListScope.CACHED: "Persisted",
     interface.ListScope.FAILED: "Error",
 }
-STATE_WORDS = {
+WIRE_SERVER_STATES = {
     interface.ServerState.READY: "U",
     interface.ServerState.DRAINING: "L",
     interface.ServerState.GONE: "D",
 }
-OUTCOME_WORDS = {
+WIRE_OUTCOMES = {
     interface.HealthCheckOutcome.PASSED: "completed",
     interface.HealthCheckOutcome.ERROR: "errored",
     interface.HealthCheckOutcome.SATURATED: "saturated",
@@ -57,7 +57,7 @@
     interface.HealthCheckOutcome.REFUSED: "refused_conn",
     interface.HealthCheckOutcome.RESET: "severed",
 }
-LOAD_WORDS = {
+WIRE_LOAD_FIELDS = {
     "cpu_share": "load_share",
     "completed_per_s": "tps",
     "in_flight": "concurrent",
@@ -92,17 +92,17 @@
     slices: dict[int, Any] = field(default_factory=dict)
     proxies: dict[int, Any] = field(default_factory=dict)
 
-    def server(self, ident: str) -> Any:
+    def server(self, id_: str) -> Any:
         """The handle of a server."""
-        return self.servers.setdefault(ident, Handle(ident))
+        return self.servers.setdefault(id_, Handle(id_))
 
-    def slice(self, ident: int) -> Any:
+    def slice(self, id_: int) -> Any:
         """The handle of a slice."""
-        return self.slices.setdefault(ident, Handle(ident))
+        return self.slices.setdefault(id_, Handle(id_))
 
-    def proxy(self, ident: int) -> Any:
+    def proxy(self, id_: int) -> Any:
         """The handle of a proxy."""
-        return self.proxies.setdefault(ident, Handle(ident))
+        return self.proxies.setdefault(id_, Handle(id_))
 
 
 def nanoseconds(time_ms: float) -> float:
@@ -113,18 +113,18 @@
 # Settings
 
 
-def class_message(request_class: interface.RequestClass) -> Message:
+def encode_request_class(request_class: interface.RequestClass) -> Message:
     """A request class in the settings."""
     return {
-        "promise": nanoseconds(max(LEAST_OBJECTIVE_MS, request_class.latency_objective_ms)),
+        "promise": nanoseconds(max(MIN_OBJECTIVE_MS, request_class.latency_objective_ms)),
         "hardLimit": nanoseconds(request_class.deadline_ms),
-        "repeat": IDEMPOTENCY_WORDS[request_class.idempotency],
-        "group": DEDUPLICATION_WORDS[request_class.deduplication_scope],
+        "repeat": WIRE_IDEMPOTENCY[request_class.idempotency],
+        "group": WIRE_DEDUPLICATION_SCOPES[request_class.deduplication_scope],
         "window": nanoseconds(request_class.deduplication_window_ms),
     }
 
 
-def family_message(settings: interface.Settings) -> Message:
+def encode_family(settings: interface.Settings) -> Message:
     """The settings of the slices and of the push channel."""
     return {
         "classOwnZone": [c.own_zone_only for c in settings.request_classes],
@@ -133,28 +133,28 @@
         "lease": nanoseconds(settings.lease_ms),
         "lingers": nanoseconds(settings.max_write_in_flight_ms),
         "emptyFor": nanoseconds(settings.max_empty_table_ms),
-        "pendingMax": max(LEAST_QUEUE_LIMIT, settings.channel_queue_limit),
-        "channelRate": max(LEAST_CHANNEL_RATE, settings.channel_rate_per_s),
+        "pendingMax": max(MIN_QUEUE_LIMIT, settings.channel_queue_limit),
+        "channelRate": max(MIN_CHANNEL_RATE, settings.channel_rate_per_s),
         "overhead": settings.message_overhead,
         "pushDelay": nanoseconds(settings.push_delay_ms),
         "updateCap": settings.message_limit,
         "countedOver": nanoseconds(settings.message_limit_window_ms),
-        "interval": nanoseconds(max(LEAST_INTERVAL_MS, settings.report_interval_ms)),
-        "throttleBy": LOAD_SHEDDING_WORDS[settings.load_shedding],
+        "interval": nanoseconds(max(MIN_INTERVAL_MS, settings.report_interval_ms)),
+        "throttleBy": WIRE_LOAD_SHEDDING[settings.load_shedding],
         "smallestConnTable": settings.connection_capacity,
     }
 
 
-def settings_message(settings: interface.Settings) -> Message:
+def encode_settings(settings: interface.Settings) -> Message:
     """The settings; a figure below what their page allows is raised to that."""
     return {
-        "requestClasses": [class_message(c) for c in settings.request_classes],
+        "requestClasses": [encode_request_class(c) for c in settings.request_classes],
         "localities": [f"zone-{k}" for k in range(settings.zone_count)],
         "registryMode": "ask" if settings.list_on_request else "push",
         "weightKind": "nominal" if settings.sizes_stated else "none",
         "balancers": settings.controller_count,
         "me": settings.controller_index,
-        "familyInfo": family_message(settings),
+        "familyInfo": encode_family(settings),
         "obligations": {
             "cold": nanoseconds(settings.warm_up_ms),
             "coldFrom": settings.initial_capacity_share,
@@ -182,11 +182,11 @@
 # Events
 
 
-def entry_message(entry: interface.EndpointEntry) -> Message:
+def encode_entry(entry: interface.EndpointEntry) -> Message:
     """An entry of the endpoint list."""
     return {
         "task": entry.server.id,
-        "health": STATE_WORDS[entry.state],
+        "health": WIRE_SERVER_STATES[entry.state],
         "readyAt": None if entry.started_ms is None else nanoseconds(entry.started_ms),
         "az": entry.zone,
         "stripe": entry.cell,
@@ -195,19 +195,19 @@
     }
 
 
-def load_message(load: interface.ServerLoad) -> Message:
+def encode_load(load: interface.ServerLoad) -> Message:
     """What a server says of itself; what it does not say is left out."""
-    values = {word: getattr(load, name) for name, word in LOAD_WORDS.items()}
-    return {word: value for word, value in values.items() if value is not None}
+    values = {wire_name: getattr(load, name) for name, wire_name in WIRE_LOAD_FIELDS.items()}
+    return {wire_name: value for wire_name, value in values.items() if value is not None}
 
 
-def list_update(event: interface.EndpointListUpdate) -> Message:
+def encode_list_update(event: interface.EndpointListUpdate) -> Message:
     """Writes a list or changes of it."""
-    items = [entry_message(entry) for entry in event.entries]
-    return {"kind": "MEMBERS", "scope": SCOPE_WORDS[event.scope], "items": items}
+    items = [encode_entry(entry) for entry in event.entries]
+    return {"kind": "MEMBERS", "scope": WIRE_LIST_SCOPES[event.scope], "items": items}
 
 
-def proxy_connected(event: interface.ProxyConnected) -> Message:
+def encode_proxy_connected(event: interface.ProxyConnected) -> Message:
     """Writes the start of a stream."""
     return {
         "kind": "JOINED",
@@ -218,17 +218,17 @@
     }
 
 
-def proxy_disconnected(event: interface.ProxyDisconnected) -> Message:
+def encode_proxy_disconnected(event: interface.ProxyDisconnected) -> Message:
     """Writes the end of a stream."""
     return {"kind": "PARTED", "agent": event.proxy.id}
 
 
-def slice_assignment(event: interface.SliceAssignment) -> Message:
+def encode_slice_assignment(event: interface.SliceAssignment) -> Message:
     """Writes an assignment or its end."""
     return {"kind": "CUSTODY", "routeTable": event.slice.id, "active": event.assigned}
 
 
-def snapshot_entry(event: interface.SnapshotEntry) -> Message:
+def encode_snapshot_entry(event: interface.SnapshotEntry) -> Message:
     """Writes an entry of the store."""
     return {
         "kind": "IN_STORE",
@@ -238,7 +238,7 @@
     }
 
 
-def server_load_report(event: interface.ServerLoadReport) -> Message:
+def encode_server_load_report(event: interface.ServerLoadReport) -> Message:
     """Writes a report of one zone's attempts."""
     return {
         "kind": "TRAFFIC_REPORT",
@@ -248,11 +248,11 @@
         "bad": event.failures,
         "latency": nanoseconds(event.latency_ms),
         "window": nanoseconds(event.window_ms),
-        "feedback": load_message(event.load),
+        "feedback": encode_load(event.load),
     }
 
 
-def slice_load_report(event: interface.SliceLoadReport) -> Message:
+def encode_slice_load_report(event: interface.SliceLoadReport) -> Message:
     """Writes a report of a slice's requests."""
     return {
         "kind": "SLICE_LOAD",
@@ -264,18 +264,18 @@
     }
 
 
-def health_check_result(event: interface.HealthCheckResult) -> Message:
+def encode_health_check_result(event: interface.HealthCheckResult) -> Message:
     """Writes the end of a health check."""
     return {
         "kind": "ECHO",
         "task": event.server.id,
-        "stateCode": OUTCOME_WORDS[event.outcome],
+        "stateCode": WIRE_OUTCOMES[event.outcome],
         "latency": nanoseconds(event.latency_ms),
-        "feedback": load_message(event.load),
+        "feedback": encode_load(event.load),
     }
 
 
-def push_acknowledged(event: interface.PushAcknowledged) -> Message:
+def encode_push_acknowledged(event: interface.PushAcknowledged) -> Message:
     """Writes an acknowledgement."""
     return {
         "kind": "CAUGHT_UP",
@@ -285,29 +285,29 @@
     }
 
 
-def timer_fired(event: interface.TimerFired) -> Message:
+def encode_timer_fired(event: interface.TimerFired) -> Message:
     """Writes the end of a timer."""
     return {"kind": "REMINDER", "ctx": event.timer_id}
 
 
-EVENT_WRITERS: dict[type, Callable[[Any], Message]] = {
-    interface.EndpointListUpdate: list_update,
-    interface.ProxyConnected: proxy_connected,
-    interface.ProxyDisconnected: proxy_disconnected,
-    interface.SliceAssignment: slice_assignment,
-    interface.SnapshotEntry: snapshot_entry,
-    interface.ServerLoadReport: server_load_report,
-    interface.SliceLoadReport: slice_load_report,
-    interface.HealthCheckResult: health_check_result,
-    interface.PushAcknowledged: push_acknowledged,
-    interface.TimerFired: timer_fired,
+EVENT_ENCODERS: dict[type, Callable[[Any], Message]] = {
+    interface.EndpointListUpdate: encode_list_update,
+    interface.ProxyConnected: encode_proxy_connected,
+    interface.ProxyDisconnected: encode_proxy_disconnected,
+    interface.SliceAssignment: encode_slice_assignment,
+    interface.SnapshotEntry: encode_snapshot_entry,
+    interface.ServerLoadReport: encode_server_load_report,
+    interface.SliceLoadReport: encode_slice_load_report,
+    interface.HealthCheckResult: encode_health_check_result,
+    interface.PushAcknowledged: encode_push_acknowledged,
+    interface.TimerFired: encode_timer_fired,
 }
 
 
-def event_message(event: interface.Event) -> Message | None:
+def encode_event(event: interface.Event) -> Message | None:
     """An event as the wire has it; None where it has no form."""
-    writer = EVENT_WRITERS.get(type(event))
-    return writer(event) if writer else None
+    encoder = EVENT_ENCODERS.get(type(event))
+    return encoder(event) if encoder else None
 
 
 # Orders
@@ -318,14 +318,14 @@
     return tuple(k for k in range(mask.bit_length()) if mask >> k & 1)
 
 
-def set_admission(message: Message, _: Handles) -> interface.Order:
+def decode_set_admission(message: Message, _: Handles) -> interface.Order:
     """Reads what is admitted and retried of some request classes."""
     return interface.SetAdmission(
         class_indices(message["only"]), message["limit"], RETRY_POLICIES[message["secondTry"]]
     )
 
 
-def bind_table(message: Message, handles: Handles) -> interface.Order:
+def decode_bind_table(message: Message, handles: Handles) -> interface.Order:
     """Reads the binding of a proxy to a table."""
     return interface.BindTable(
         handles.proxy(message["agent"]),
@@ -334,7 +334,7 @@
     )
 
 
-ORDER_READERS: dict[str, Callable[[Message, Handles], interface.Order]] = {
+ORDER_DECODERS: dict[str, Callable[[Message, Handles], interface.Order]] = {
     "LINE": lambda message, handles: interface.SetEndpointWeight(
         handles.slice(message["routeTable"]), handles.server(message["task"]), message["part"]
     ),
@@ -342,8 +342,8 @@
     "BENCH": lambda message, handles: interface.SetEjection(
         handles.server(message["task"]), message["active"]
     ),
-    "BIND": bind_table,
-    "RATION": set_admission,
+    "BIND": decode_bind_table,
+    "RATION": decode_set_admission,
     "BARRIER": lambda message, _: interface.RequestAcknowledgement(
         message["rev"], message["active"]
     ),
@@ -355,15 +355,15 @@
 }
 
 
-def read_order(message: Message, handles: Handles) -> interface.Order:
+def decode_order(message: Message, handles: Handles) -> interface.Order:
     """A message of an answer as an order; raises `WireError`."""
-    reader = ORDER_READERS.get(message["kind"])
-    if reader is None:
+    decoder = ORDER_DECODERS.get(message["kind"])
+    if decoder is None:
         raise WireError(f"an answer has the unknown kind {message['kind']!r}")
-    return reader(message, handles)
+    return decoder(message, handles)
 
 
-def read_answer(line: bytes) -> list[Message]:
+def decode_answer(line: bytes) -> list[Message]:
     """The messages of an answer; raises `WireError`."""
     try:
         outbox: list[Message] = json.loads(line)["outbox"]
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -18,19 +18,19 @@
 PAGES = [ROOT / "docs" / "CAPACITY.md", ROOT / "docs" / "design" / "capacity.md"]
 
 
-class CallError(ValueError):
+class UsageError(ValueError):
     """The call is wrong; one line."""
 
 
-class Parser(argparse.ArgumentParser):
+class OptionParser(argparse.ArgumentParser):
     """One that raises where the call is wrong, in place of printing its usage."""
 
     def error(self, message: str) -> NoReturn:
         """Raises `CallError`."""
-        raise CallError(message)
+        raise UsageError(message)
 
 
-def fitted(folder: Path) -> dict[str, Any]:
+def fit_records(folder: Path) -> dict[str, Any]:
     """Every curve and every held-out check."""
     from havendyke.lab.scale import record
     from havendyke.lab.scale.page import Page
@@ -45,7 +45,7 @@
         "curves": {
             metric: {
                 "combine": model.combine,
-                "axes": {axis: rounded(asdict(c)) for axis, c in model.curves.items()},
+                "axes": {axis: round_figures(asdict(c)) for axis, c in model.curves.items()},
             }
             for metric, model in page.models.items()
             if model.curves
@@ -53,12 +53,14 @@
         "held_out": {
             "within": sum(c.passed for c in checks),
             "of": len(checks),
-            "beyond": [rounded({**asdict(c), "miss": c.miss}) for c in checks if not c.passed],
+            "beyond": [
+                round_figures({**asdict(c), "miss": c.miss}) for c in checks if not c.passed
+            ],
         },
     }
 
 
-def rounded(figures: dict[str, Any]) -> dict[str, Any]:
+def round_figures(figures: dict[str, Any]) -> dict[str, Any]:
     """The figures with five digits."""
     return {
         key: float(f"{value:.5g}") if isinstance(value, float) else value
@@ -68,12 +70,12 @@
 
 def measure() -> dict[str, Any]:
     """The curves of the records in the repository."""
-    return fitted(RECORDS)
+    return fit_records(RECORDS)
 
 
-def parsed(words: Sequence[str]) -> argparse.Namespace:
+def read_options(arguments: Sequence[str]) -> argparse.Namespace:
     """The options of the command line; raises `CallError`."""
-    parser = Parser(
+    parser = OptionParser(
         prog="benchmarks capacity", description="Slopes and pages from the records of scale runs."
     )
     what = parser.add_mutually_exclusive_group(required=True)
@@ -82,32 +84,32 @@
     )
     what.add_argument("--page", action="store_true", help="write the pages' tables anew")
     parser.add_argument("--records", type=Path, default=RECORDS, metavar="FOLDER")
-    return parser.parse_args(words)
+    return parser.parse_args(arguments)
 
 
-def main(words: Sequence[str]) -> int:
+def main(arguments: Sequence[str]) -> int:
     """What the words ask for; returns the exit status."""
     try:
-        options = parsed(words)
+        options = read_options(arguments)
         from havendyke.lab.scale import page, record
-    except CallError as error:
-        return wrong(error)
+    except UsageError as error:
+        return report_error(error)
     except ModuleNotFoundError as error:
-        return wrong(f"it needs {error.name}: pip install -r requirements-dev.txt")
+        return report_error(f"it needs {error.name}: pip install -r requirements-dev.txt")
     try:
         if options.fit:
-            print(json.dumps(fitted(options.records)))
+            print(json.dumps(fit_records(options.records)))
         else:
             print(
                 "\n".join(page.rewrite(options.records, PAGES))
                 or "the pages agree with the records"
             )
     except (record.BadRecord, page.BadPage) as error:
-        return wrong(error)
+        return report_error(error)
     return 0
 
 
-def wrong(complaint: object) -> int:
+def report_error(complaint: object) -> int:
     """Prints a complaint; returns the exit status."""
     print(f"benchmarks capacity: {complaint}", file=sys.stderr)
     return 2
--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -35,7 +35,7 @@
 
 from ._earlier import PACKAGE, ROOT, UnknownRevisionError, commit_of, extract
 from ._exchange_script import RELAYS, SERVERS, STEPS, Exchange, Program, free_address
-from ._stand_ins import Received
+from ._stub_peers import ReceivedMessage
 from ._version import DEPLOY_FILE, VersionError
 
 SAME, DIFFERENT, NOT_COMPARED = 0, 1, 2
@@ -89,7 +89,7 @@
     return [f"{head}#{middle}{tail}", *NONCE.sub(r"\1#", orders).split("},{")]
 
 
-def transcript(messages: Iterable[Received], names: dict[str, str]) -> Transcript:
+def transcript(messages: Iterable[ReceivedMessage], names: dict[str, str]) -> Transcript:
     """The messages in the form in which they are compared; `names` are those of addresses."""
     peers: Transcript = {}
     for message in messages:
@@ -175,21 +175,25 @@
     return not result.differences and len(set(result.exit_statuses.values())) == 1
 
 
-def count_of(text: str) -> int:
+def parse_count(text: str) -> int:
     """The number of an option."""
     if not re.fullmatch(r"[1-9][0-9]?", text):
         raise argparse.ArgumentTypeError(f"{text} is not a number from 1 to 99")
     return int(text)
 
 
-def read_options(words: Sequence[str]) -> argparse.Namespace:
+def read_options(arguments: Sequence[str]) -> argparse.Namespace:
     """The options of the command line."""
     options = Options(prog="benchmarks exchange")
     options.add_argument("--against", required=True, metavar="COMMIT", help="the earlier version")
     options.add_argument(
-        "--plays", type=count_of, default=PLAYS, metavar="N", help="plays at most, until one agrees"
+        "--plays",
+        type=parse_count,
+        default=PLAYS,
+        metavar="N",
+        help="plays at most, until one agrees",
     )
-    return options.parse_args(words)
+    return options.parse_args(arguments)
 
 
 def report(commit: str, result: Comparison) -> dict[str, Any]:
@@ -197,10 +201,10 @@
     return {"benchmark": "exchange", "against": commit, **asdict(result)}
 
 
-def main(words: Sequence[str]) -> int:
+def main(arguments: Sequence[str]) -> int:
     """Runs the comparison and returns its status."""
     try:
-        options = read_options(words)
+        options = read_options(arguments)
         commit = commit_of(options.against)
         with tempfile.TemporaryDirectory(prefix="earlier-") as folder:
             extract(options.against, Path(folder), COMPARED_PATHS)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -16,7 +16,7 @@
 from havendyke.interface import HealthCheckOutcome, Idempotency, ListScope, ServerState
 
 from . import _former
-from ._earlier import UnknownRevisionError, commit_of, compared, package
+from ._earlier import UnknownRevisionError, commit_of, compare_speed, import_revision
 from ._former import Version, VersionController
 
 BEFORE = "56d355e"  # the last version before fleet growth; 5e7bf43 before the fleet test
@@ -33,7 +33,7 @@
 Size = tuple[int, int, int]
 
 
-class CallError(ValueError):
+class UsageError(ValueError):
     """The command line is wrong."""
 
 
@@ -42,7 +42,7 @@
 
     def error(self, message: str) -> NoReturn:
         """Raises `CallError`."""
-        raise CallError(message)
+        raise UsageError(message)
 
 
 def settings(version: Version, slices: int, proxies: int, controllers: int = 5) -> Any:
@@ -209,8 +209,8 @@
     wanted = settings(version, slices, 100, controllers)
     made = Deployment(version, version.controller(wanted, 1 + 7919 * number))
     made.add_servers(CHECKED_SERVERS)
-    for ident in range(number, slices, controllers):
-        made.assign(ident, made.servers[ident % CHECKED_SERVERS])
+    for id_ in range(number, slices, controllers):
+        made.assign(id_, made.servers[id_ % CHECKED_SERVERS])
     counts: Counter[str] = Counter()
     for tick in range(int(CHECKED_MS / TICK_MS)):
         orders = made.reconcile(START_MS + TICK_MS * tick)
@@ -233,14 +233,14 @@
 
 def measure(before: str = BEFORE) -> dict[str, Any]:
     """All figures, beside those of an earlier version."""
-    earlier, present = Version(package(before)), Version("havendyke")
+    earlier, present = Version(import_revision(before)), Version("havendyke")
     return {
         "benchmark": "fleet",
         "before": before,
         "reconciliations_a_run": RECONCILIATIONS,
         **{
             name: {
-                f"{size[0]}_servers_{size[1]}_slices_{size[2]}_proxies": compared(
+                f"{size[0]}_servers_{size[1]}_slices_{size[2]}_proxies": compare_speed(
                     prepare(earlier, size), prepare(present, size), REPEATS
                 )
                 for size in SIZES
@@ -257,14 +257,14 @@
     }
 
 
-def main(words: Sequence[str]) -> int:
+def main(arguments: Sequence[str]) -> int:
     """Prints the figures as one line; returns the status."""
     options = Options(prog="benchmarks fleet")
     options.add_argument("--against", default=BEFORE, metavar="COMMIT", help="the earlier version")
     try:
-        before = options.parse_args(words).against
+        before = options.parse_args(arguments).against
         commit_of(before)
-    except (CallError, UnknownRevisionError) as error:
+    except (UsageError, UnknownRevisionError) as error:
         print(f"benchmarks: fleet: {error}", file=sys.stderr)
         return 2
     print(json.dumps(measure(before)))
--- a/benchmarks/fuzzing.py
+++ b/benchmarks/fuzzing.py
@@ -7,7 +7,7 @@
 import importlib
 from time import perf_counter
 
-from ._earlier import compared, package
+from ._earlier import compare_speed, import_revision
 
 BEFORE = "6840eb4"  # the last version before fuzzing
 
@@ -83,16 +83,17 @@
 
 
 def measure() -> dict:
-    old, new = parsers(package(BEFORE)), parsers("havendyke")
+    old, new = parsers(import_revision(BEFORE)), parsers("havendyke")
     return {
         "benchmark": "fuzzing",
         "before": BEFORE,
         "answers": {
-            size: compared(answers(old, b"x" * size, 400), answers(new, b"x" * size, 400))
+            size: compare_speed(answers(old, b"x" * size, 400), answers(new, b"x" * size, 400))
             for size in (10, 1000, 10_000)
         },
         "reports": {
-            count: compared(reports(old, count), reports(new, count)) for count in (100, 1000, 5000)
+            count: compare_speed(reports(old, count), reports(new, count))
+            for count in (100, 1000, 5000)
         },
         "executions_a_second": paces(),
     }
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -66,7 +66,7 @@
     }
 
 
-def start(age: float | None, servers: int = 10) -> dict:
+def measure_start(age: float | None, servers: int = 10) -> dict:
     """One start with discovery down for the whole run, a server dead and another drained before the
     cut; all servers start with the machine, cold."""
     life = AssignerHost(raw(servers), {f"s{k}": listed(f"s{k}") for k in range(servers)})
@@ -314,8 +314,8 @@
     return {
         "benchmark": "recovery",
         "starts_with_discovery_down": {
-            "without_state": start(None),
-            **{name: start(age) for name, age in AGES.items()},
+            "without_state": measure_start(None),
+            **{name: measure_start(age) for name, age in AGES.items()},
         },
         "added_cost_of_a_turn": {str(size): turn_cost(size) for size in (10, 100, 1000)},
         "stores": {
--- a/benchmarks/same.py
+++ b/benchmarks/same.py
@@ -27,7 +27,7 @@
 from ._days import day_of
 from ._earlier import PACKAGE, ROOT, UnknownRevisionError, commit_of, extract
 from ._version import DEPLOY_FILE, Session, VersionError, VersionProcess, running_version
-from ._wire import FAILURE_KIND, Message, WireError, read_answer, settings_keys, settings_message
+from ._wire import FAILURE_KIND, Message, WireError, decode_answer, encode_settings, settings_keys
 
 SEEDS = range(1200)
 SAME, DIFFERENT, NOT_COMPARED = 0, 1, 2
@@ -120,7 +120,7 @@
     def outbox(self, version: str, answer: bytes) -> list[Message]:
         """The messages of an answer, unless it declares a failure of the decisions."""
         try:
-            outbox = read_answer(answer)
+            outbox = decode_answer(answer)
         except WireError as error:
             raise self.ended_early(version, str(error)) from error
         for message in outbox:
@@ -138,7 +138,7 @@
 def unread_settings(folder: Path) -> list[str]:
     """Keys of the settings that no module of the version in a folder quotes."""
     texts = [path.read_text() for path in (folder / PACKAGE).rglob("*.py")]
-    keys = settings_keys(settings_message(day_of(SEEDS.start).settings))
+    keys = settings_keys(encode_settings(day_of(SEEDS.start).settings))
     return [key for key in keys if not any(f'"{key}"' in text for text in texts)]
 
 
@@ -163,7 +163,7 @@
     return result
 
 
-def seeds_of(text: str) -> range:
+def parse_seeds(text: str) -> range:
     """The seeds of an option."""
     match = re.fullmatch(r"([0-9]{1,9}):([0-9]{1,9})", text)
     seeds = range(int(match[1]), int(match[2])) if match else range(0)
@@ -172,14 +172,18 @@
     return seeds
 
 
-def read_options(words: Sequence[str]) -> argparse.Namespace:
+def read_options(arguments: Sequence[str]) -> argparse.Namespace:
     """The options of the command line."""
     options = Options(prog="benchmarks same")
     options.add_argument("--against", required=True, metavar="COMMIT", help="the earlier version")
     options.add_argument(
-        "--seeds", type=seeds_of, default=SEEDS, metavar="FIRST:END", help="the days, END left out"
+        "--seeds",
+        type=parse_seeds,
+        default=SEEDS,
+        metavar="FIRST:END",
+        help="the days, END left out",
     )
-    return options.parse_args(words)
+    return options.parse_args(arguments)
 
 
 def report(commit: str, seeds: range, result: Comparison) -> dict[str, Any]:
@@ -192,10 +196,10 @@
     }
 
 
-def main(words: Sequence[str]) -> int:
+def main(arguments: Sequence[str]) -> int:
     """Runs the comparison and returns its status."""
     try:
-        options = read_options(words)
+        options = read_options(arguments)
         commit = commit_of(options.against)
         with tempfile.TemporaryDirectory(prefix="earlier-") as folder:
             extract(options.against, Path(folder), COMPARED_PATHS)
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -27,47 +27,47 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from ._soak_life import Life, LifeReport, Scene
+from ._soak_run import ProgramRun, RunReport, Scenario
 
-READY_SOON_S = 10.0
-READY_SOON_SHARE = 0.9
+READY_TARGET_S = 10.0
+READY_TARGET_SHARE = 0.9
 
 
-async def play_seed(seed: int, lives: int, seconds: float) -> list[LifeReport]:
+async def play_seed(seed: int, lives: int, seconds: float) -> list[RunReport]:
     """Plays one seed's lives, one after the other."""
     with tempfile.TemporaryDirectory() as folder:
-        scene = Scene(Path(folder), seed)
-        await scene.start()
+        scenario = Scenario(Path(folder), seed)
+        await scenario.start()
         try:
-            return [await Life(scene, seconds).run() for _ in range(lives)]
+            return [await ProgramRun(scenario, seconds).run() for _ in range(lives)]
         finally:
-            scene.close()
+            scenario.close()
 
 
-async def play(seeds: range, lives: int, seconds: float, jobs: int) -> dict[int, list[LifeReport]]:
+async def play(seeds: range, lives: int, seconds: float, jobs: int) -> dict[int, list[RunReport]]:
     """Plays all seeds, so many at a time."""
-    free = asyncio.Semaphore(jobs)
+    slots = asyncio.Semaphore(jobs)
 
-    async def play_one(seed: int) -> list[LifeReport]:
-        async with free:
+    async def play_one(seed: int) -> list[RunReport]:
+        async with slots:
             return await play_seed(seed, lives, seconds)
 
     reports = await asyncio.gather(*(play_one(seed) for seed in seeds))
     return dict(zip(seeds, reports, strict=True))
 
 
-def faults(reports: dict[int, list[LifeReport]]) -> list[str]:
+def faults(reports: dict[int, list[RunReport]]) -> list[str]:
     """All faults, each with its seed and life; late starts are judged over all."""
     found = [
         f"seed {seed} life {number}: {fault}"
         for seed, lives in reports.items()
-        for number, life in enumerate(lives, 1)
-        for fault in life.faults
+        for number, run in enumerate(lives, 1)
+        for fault in run.faults
     ]
-    starts = [life.ready_s for lives in reports.values() for life in lives]
-    soon = sum(0 < ready_s <= READY_SOON_S for ready_s in starts)
-    if soon < READY_SOON_SHARE * len(starts):
-        found.append(f"{soon} of {len(starts)} starts were ready in {READY_SOON_S} s")
+    starts = [run.ready_s for lives in reports.values() for run in lives]
+    in_time = sum(0 < ready_s <= READY_TARGET_S for ready_s in starts)
+    if in_time < READY_TARGET_SHARE * len(starts):
+        found.append(f"{in_time} of {len(starts)} starts were ready in {READY_TARGET_S} s")
     return found
 
 
@@ -77,21 +77,21 @@
     return range(int(first), int(end))
 
 
-def main(words: Sequence[str]) -> int:
+def main(arguments: Sequence[str]) -> int:
     """Prints one JSON line; returns the status."""
     parser = argparse.ArgumentParser(prog="soak")
     parser.add_argument("--seeds", type=seed_range, default=range(1, 4))
     parser.add_argument("--lives", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=6.0)
     parser.add_argument("--jobs", type=int, default=2)
-    options = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     reports = asyncio.run(play(options.seeds, options.lives, options.seconds, options.jobs))
     found = faults(reports)
-    starts = sorted(life.ready_s for lives in reports.values() for life in lives)
+    starts = sorted(run.ready_s for lives in reports.values() for run in lives)
     result = {
         "seeds": [options.seeds.start, options.seeds.stop],
         "lives": len(starts),
-        "steps": sum(len(life.steps) for lives in reports.values() for life in lives),
+        "steps": sum(len(run.steps) for lives in reports.values() for run in lives),
         "ready_s": {"median": starts[len(starts) // 2], "max": starts[-1]},
         "faults": found,
     }
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -33,7 +33,7 @@
 }
 
 
-class CallError(ValueError):
+class UsageError(ValueError):
     """The command line is wrong."""
 
 
@@ -42,7 +42,7 @@
 
     def error(self, message: str) -> NoReturn:
         """Raises `CallError`."""
-        raise CallError(message)
+        raise UsageError(message)
 
 
 def server(number: int) -> dict[str, Any]:
@@ -154,13 +154,13 @@
     }
 
 
-def main(words: Sequence[str]) -> int:
+def main(arguments: Sequence[str]) -> int:
     """Prints the figures as one line; returns the status."""
     options = Options(prog="benchmarks start")
     options.add_argument("--against", metavar="COMMIT", help="an earlier version")
     try:
-        figures = measure(options.parse_args(words).against)
-    except (CallError, UnknownRevisionError) as error:
+        figures = measure(options.parse_args(arguments).against)
+    except (UsageError, UnknownRevisionError) as error:
         print(f"benchmarks: start: {error}", file=sys.stderr)
         return 2
     print(json.dumps(figures))
--- a/tests/recovery/test_recovered_starts.py
+++ b/tests/recovery/test_recovered_starts.py
@@ -342,9 +342,9 @@
 
 
 def test_after_a_week_all_tables_are_published_and_no_server_warming_up_is_overloaded():
-    from benchmarks.recovery import start
+    from benchmarks.recovery import measure_start
 
-    result = start(7 * DAY_MS)
+    result = measure_start(7 * DAY_MS)
     assert result["longest_without_a_line_ms"] < 3000 and not result["drained_server_has_traffic"]
     assert max(result["most_of_what_fells_a_cold_server"].values()) < 1.0
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -6,7 +6,7 @@
 from version_copies import add_at_import, copy_of_version, patch
 
 from benchmarks import exchange
-from benchmarks._stand_ins import Received
+from benchmarks._stub_peers import ReceivedMessage
 
 START = ("start",)
 START_AND_REPORTS = ("start", "load reports", "stranger")
@@ -86,7 +86,9 @@
         {"op": "SYNC", "nonce_out": nonce, "yes": 0},
     ]
     message = {"id": number, "method": "relay.apply", "params": {"orders": orders}}
-    return Received("start", "relay", json.dumps(message, separators=(",", ":")).encode() + b"\n")
+    return ReceivedMessage(
+        "start", "relay", json.dumps(message, separators=(",", ":")).encode() + b"\n"
+    )
 
 
 def test_of_a_call_the_numbers_alone_are_masked():
@@ -108,7 +110,7 @@
 
 
 def test_the_sequence_of_a_collectors_answers_is_compared():
-    answers = [Received("start", "collector", data) for data in (b"PONG", b"NACK")]
+    answers = [ReceivedMessage("start", "collector", data) for data in (b"PONG", b"NACK")]
     assert exchange.differences(
         exchange.transcript(answers, {}), exchange.transcript(answers[::-1], {})
     )
--- a/tests/test_same.py
+++ b/tests/test_same.py
@@ -12,7 +12,7 @@
 from benchmarks import __main__ as benchmarks
 from benchmarks import same
 from benchmarks._days import day_of
-from benchmarks._wire import settings_message
+from benchmarks._wire import encode_settings
 from havendyke.config import read_settings
 
 FEW = "0:36"
@@ -134,7 +134,7 @@
 def test_the_settings_of_a_day_arrive_as_they_were_drawn(seed):
     day = day_of(seed)
     if not day.kind.startswith("wild"):  # those are raised to what the settings' page allows
-        assert read_settings(settings_message(day.settings)) == day.settings
+        assert read_settings(encode_settings(day.settings)) == day.settings
 
 
 @pytest.mark.parametrize(
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -6,8 +6,8 @@
 import pytest
 
 from benchmarks import soak
-from benchmarks._soak_life import LifeReport
 from benchmarks._soak_log import log_faults
+from benchmarks._soak_run import RunReport
 
 SEEDS, LIVES, FAULT_SECONDS = range(1, 4), 2, 4.0
 
@@ -19,7 +19,7 @@
 def test_a_short_soak_finds_no_fault():
     reports = asyncio.run(soak.play(SEEDS, LIVES, FAULT_SECONDS, jobs=len(SEEDS)))
     assert soak.faults(reports) == []
-    assert sum(len(life.steps) for lives in reports.values() for life in lives) > 20
+    assert sum(len(run.steps) for lives in reports.values() for run in lives) > 20
 
 
 @pytest.mark.parametrize(
@@ -39,6 +39,6 @@
 
 
 def test_nine_in_ten_starts_must_be_ready_soon():
-    lives = [LifeReport(ready_s=0.2)] * 8 + [LifeReport(ready_s=12.0), LifeReport()]
+    lives = [RunReport(ready_s=0.2)] * 8 + [RunReport(ready_s=12.0), RunReport()]
     assert soak.faults({1: lives}) == ["8 of 10 starts were ready in 10.0 s"]
-    assert soak.faults({1: lives[:9] + [LifeReport(ready_s=9.0)]}) == []
+    assert soak.faults({1: lives[:9] + [RunReport(ready_s=9.0)]}) == []
