--- a/benchmarks/_exchange_script.py
+++ b/benchmarks/_exchange_script.py
@@ -1,8 +1,8 @@
-"""The scripted exchange of one assigner with its stand-ins: six servers, three proxies and four
+"""The scripted exchange of one assigner with stub peers: six servers, three proxies and four
 slices.
 
-A step ends when the relay has received nothing for a while, so that what a step leads to is sent
-within it."""
+A step ends when the relay has received nothing for `QUIET_PERIOD_S`, so that all messages that a
+step causes are recorded as its own."""
 
 import asyncio
 import json
@@ -62,13 +62,13 @@
 
 
 def free_address() -> str:
-    """An address for the assigner to listen at."""
-    with socket.create_server((HOST, 0)) as free:
-        return "{}:{}".format(*free.getsockname())
+    """A free address for the assigner to listen on."""
+    with socket.create_server((HOST, 0)) as listener:
+        return "{}:{}".format(*listener.getsockname())
 
 
 def list_entry(name: str, endpoint: str) -> dict[str, Any]:
-    """A server in the endpoint list."""
+    """A server's entry in the endpoint list."""
     number = int(name[1:])
     return {
         "uid": name,
@@ -83,14 +83,14 @@
 
 
 def load_report(server: str, attempts: int, failures: int) -> bytes:
-    """A collector's report of a server."""
+    """A collector's load report of a server."""
     values = {"az": "a", "host": server, "n": str(attempts), "bad": str(failures)}
     values |= {"avg": "40.0", "window": "500.0", "report": "inflight:2,util:0.40"}
     return resp_command("LOAD", *(word for pair in values.items() for word in pair))
 
 
 def slice_report(number: int, requests: int) -> bytes:
-    """A collector's report of a slice."""
+    """A collector's load report of a slice."""
     values = {"partition": str(number), "kind": "lookup", "n": str(requests), "bad": "0"}
     return resp_command(
         "SHARD", *(word for pair in values.items() for word in pair), "window", "500.0"
@@ -99,7 +99,7 @@
 
 @dataclass
 class Program:
-    """The assigner of one version with its configuration's file."""
+    """The assigner process of one version and its configuration file."""
 
     folder: Path
     config_file: Path
@@ -107,8 +107,8 @@
     process: subprocess.Popen[bytes] | None = None
     stderr: IO[bytes] | None = None
 
-    def write(self, discovery: Discovery, relay: Relay) -> None:
-        """Writes the configuration."""
+    def write_configuration(self, discovery: Discovery, relay: Relay) -> None:
+        """Writes the configuration with the addresses of these peers."""
         text = json.dumps(
             {
                 "name": "n1",
@@ -123,7 +123,7 @@
 
     @contextmanager
     def running(self) -> Iterator[subprocess.Popen[bytes]]:
-        """The process, by the `run` command of the version's own deploy file."""
+        """Runs the `run` command of the version's own deploy file."""
         environment = {
             **os.environ,
             CONFIGURATION_VARIABLE: str(self.config_file),
@@ -146,17 +146,17 @@
             finally:
                 self.process.kill()
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Sends a signal to the process."""
         assert self.process
         self.process.send_signal(number)
 
 
 class Exchange:
-    """One version among its stand-ins."""
+    """One version and its stub peers."""
 
     def __init__(self, program: Program) -> None:
-        """Prepares the stand-ins; `play` starts them."""
+        """Creates the stubs; `play` starts them."""
         self.recorder = Recorder()
         self.program = program
         self.servers = {name: Server(name, self.recorder) for name in SERVERS}
@@ -170,16 +170,18 @@
 
     @property
     def listeners(self) -> list[Listener]:
-        """All stand-ins that have an address."""
+        """All stubs that have an address."""
         return [self.discovery, self.relay, self.moved_relay, *self.servers.values()]
 
     async def play(self, steps: Sequence[str]) -> int:
-        """Plays the steps and returns the program's exit status; raises `VersionError`."""
+        """Plays the steps and returns the program's exit status.
+
+        Raises `VersionError` where the program does not start or does not exit."""
         for listener in self.listeners:
             await listener.start()
         for name, server in self.servers.items():
             self.discovery.entries[name] = list_entry(name, server.address)
-        self.program.write(self.discovery, self.relay)
+        self.program.write_configuration(self.discovery, self.relay)
         self.recorder.step = steps[0]
         try:
             with self.program.running() as process:
@@ -198,34 +200,34 @@
         try:
             return await asyncio.to_thread(process.wait, EXIT_TIMEOUT_S)
         except subprocess.TimeoutExpired as error:
-            raise VersionError("it does not end") from error
+            raise VersionError("the program does not exit after SIGTERM") from error
 
     async def _wait_until_quiet(self) -> None:
-        """Waits until the relays have received nothing for a while."""
+        """Waits until the relays have received nothing for `QUIET_PERIOD_S`."""
         loop = asyncio.get_running_loop()
         limit = loop.time() + STEP_TIMEOUT_S
-        calls, quiet_since = self._relay_messages(), loop.time()
+        received, quiet_since = self._relay_message_count(), loop.time()
         while loop.time() < min(limit, quiet_since + QUIET_PERIOD_S):
             await asyncio.sleep(POLL_INTERVAL_S)
-            if self._relay_messages() != calls:
-                calls, quiet_since = self._relay_messages(), loop.time()
+            if self._relay_message_count() != received:
+                received, quiet_since = self._relay_message_count(), loop.time()
 
-    def _relay_messages(self) -> int:
+    def _relay_message_count(self) -> int:
         return sum(message.peer in RELAYS for message in self.recorder.messages)
 
     async def _wait_until_listening(self, process: subprocess.Popen[bytes]) -> None:
-        """Waits until the assigner can be connected to."""
+        """Waits until the assigner accepts connections."""
         loop = asyncio.get_running_loop()
         limit = loop.time() + START_TIMEOUT_S
         while True:
             try:
-                await (await self._connect("newcomer")).close()
+                await (await self._connect("connection check")).close()
                 return
             except OSError as error:
                 if process.poll() is not None or loop.time() > limit:
                     assert self.program.stderr
                     reason = last_line(self.program.stderr) or str(error)
-                    raise VersionError(f"it does not listen: {reason}") from error
+                    raise VersionError(f"the program does not listen: {reason}") from error
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _connect(self, name: str) -> Collector:
@@ -234,10 +236,10 @@
     # Steps
 
     async def begin(self) -> None:
-        """Nothing but what the stand-ins answer at the start."""
+        """Sends nothing beyond the stubs' answers at the start."""
 
     async def report_loads(self) -> None:
-        """A collector reports; a message is malformed, and another names an unknown server."""
+        """A collector reports, with a malformed report and one of an unknown server."""
         self.collector = await self._connect("collector")
         self.collector.send(resp_command("SOURCE", "az", "a"), resp_command("PING"))
         self.collector.send(*(load_report(name, 60, 0) for name in SERVERS))
@@ -247,44 +249,44 @@
         )
 
     async def send_unknown_command(self) -> None:
-        """Somebody sends what no collector sends."""
+        """A client sends a command that the collectors' protocol does not have."""
         stranger = await self._connect("stranger")
         stranger.send(resp_command("WHO"))
 
     async def replace_proxy(self) -> None:
-        """A proxy connects and another one leaves."""
+        """A proxy connects and another one disconnects."""
         self.relay.connect_proxy(3, "a")
         self.relay.disconnect_proxy(2)
 
     async def drain_server(self) -> None:
-        """A server of a slice drains."""
+        """A server in a slice's table drains."""
         self.discovery.update_states(s1="terminating")
 
     async def remove_server(self) -> None:
-        """The drained server is gone."""
+        """The drained server leaves the endpoint list."""
         self.discovery.update_states(s1="terminated")
 
     async def fail_server(self) -> None:
-        """All attempts at a server fail, and its health checks."""
+        """A server fails all attempts and all health checks."""
         assert self.collector
         self.servers["s2"].healthy = False
         self.collector.send(load_report("s2", 60, 60))
 
     async def break_call(self) -> None:
-        """The relay ends the connection of the next call and does not carry the call out."""
+        """The relay closes the connection of the next call and does not apply its orders."""
         self.relay.closes_on_next_call = True
         self.discovery.update_states(s3="terminating")
 
     async def reassign_slice(self) -> None:
-        """A slice is withdrawn and comes back with another table."""
+        """A slice is withdrawn and assigned again with another table."""
         self.relay.unassign_slice(3)
         await self._wait_until_quiet()
         self.relay.assign_slice(3, {"s5": 1.0})
 
     async def change_relay_address(self) -> None:
-        """The configuration names another address of the relay, and a server drains."""
-        self.program.write(self.discovery, self.moved_relay)
-        self.program.signal(signal.SIGHUP)
+        """The reloaded configuration has another relay address, and servers drain."""
+        self.program.write_configuration(self.discovery, self.moved_relay)
+        self.program.send_signal(signal.SIGHUP)
         await self._wait_until_quiet()
         self.discovery.update_states(s4="terminating", s5="terminating")
 
--- a/benchmarks/_soak_peers.py
+++ b/benchmarks/_soak_peers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of a soak: the platform's peers, each able to fail in a drawn way."""
+"""Stub peers of a soak, which can be made to fail."""
 
 import asyncio
 import json
@@ -27,33 +27,33 @@
 
 
 class CallOutcome(Enum):
-    """How the relay ends a call; a call that is not carried out leaves the store as it is."""
+    """How the relay ends a call, and whether the call's orders are applied to the store."""
 
     ANSWERED = "answered"
-    CLOSED_APPLIED = "cut, carried out"
-    CLOSED_DROPPED = "cut, dropped"
-    SILENT_APPLIED = "silent, carried out"
+    CLOSED_APPLIED = "closed, applied"
+    CLOSED_DROPPED = "closed, dropped"
+    SILENT_APPLIED = "silent, applied"
     SILENT_DROPPED = "silent, dropped"
-    UNREADABLE_APPLIED = "unreadable reply, carried out"
+    UNREADABLE_APPLIED = "unreadable reply, applied"
     UNREADABLE_DROPPED = "unreadable reply, dropped"
     BUSY = "busy"
 
     @property
     def applies_orders(self) -> bool:
-        """Whether the orders take effect."""
-        return self is CallOutcome.ANSWERED or self.value.endswith("carried out")
+        """Whether the relay applies the call's orders."""
+        return self is CallOutcome.ANSWERED or self.value.endswith("applied")
 
 
 class FailingRelay(Relay):
-    """A relay whose next calls end as told, and whose watches can be cut."""
+    """A relay whose next calls have given outcomes, and whose watches can be reset."""
 
     def __init__(self, name: str, recorder: Recorder, store: Store) -> None:
-        """Answers every call until `endings` has some."""
+        """Answers every call while `call_outcomes` is empty."""
         super().__init__(name, recorder, store)
         self.call_outcomes: list[CallOutcome] = []
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers requests until the other side ends the connection, or an ending does."""
+        """Answers requests until the assigner or a call's outcome closes the connection."""
         while True:
             request = json.loads(await reader.readuntil(b"\n"))
             if request["method"] == "relay.watch":
@@ -64,12 +64,12 @@
                 return
 
     def reset_watches(self, count: int) -> None:
-        """Resets so many of the connections that carry the watch."""
+        """Resets the connections of at most `count` watches."""
         for writer in list(self._watchers)[:count]:
             writer.transport.abort()
 
     def send_invalid_notification(self, text: bytes) -> None:
-        """Says this on the first connection that carries the watch."""
+        """Sends this line on the first watch."""
         for writer in list(self._watchers)[:1]:
             writer.write(text + b"\n")
 
@@ -80,7 +80,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Ends a call; returns whether the connection is still of use."""
+        """Ends a call; returns whether the connection stays open."""
         if outcome is CallOutcome.ANSWERED:
             self._answer_call(request, writer)
             return True
@@ -92,33 +92,33 @@
             self._answer_call(request, _DiscardingWriter())  # type: ignore[arg-type]
         if outcome.value.startswith("unreadable"):
             writer.write(UNREADABLE_REPLY)
-        if not outcome.value.startswith("cut"):
+        if not outcome.value.startswith("closed"):
             await reader.read(1)
         return False
 
 
 class _DiscardingWriter:
-    """Takes the reply that is not to arrive."""
+    """Discards a reply that the caller must not get."""
 
     def write(self, data: bytes) -> None:
-        """Drops it."""
+        """Discards the data."""
 
 
 class FailingDiscovery(Discovery):
-    """Discovery whose watches can be cut, and whose next change may be spoilt."""
+    """Discovery whose watches can be reset, and which can send unreadable changes."""
 
     def reset_watches(self, count: int) -> None:
-        """Resets so many watches."""
+        """Resets the connections of at most `count` watches."""
         for writer in list(self._watchers)[:count]:
             writer.transport.abort()
 
     def restart_server(self, name: str, boot_ms: float) -> None:
-        """A server is ready again after a start just now."""
+        """Makes a server ready with a new start time."""
         self.entries[name]["boot_ms"] = boot_ms
         self.update_states(**{name: "in_service"})
 
     def send_unreadable_change(self, name: str) -> None:
-        """Notifies the watches of an entry that cannot be read."""
+        """Sends the watches an entry whose start time is not a number."""
         entry = self.entries[name]
         self.entries[name] = {**entry, "boot_ms": "soon"}
         self.revision += 1
@@ -129,12 +129,12 @@
 
 
 class PingingCollector:
-    """A named collector that reports and asks PING on its open connection until it ends."""
+    """A named collector that sends reports and PINGs until its connection is closed."""
 
     def __init__(
         self, zone: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Takes over a connection and names itself."""
+        """Sends the collector's name on an open connection and starts reading."""
         self.sent = 0
         self.answered = 0
         self._reader = reader
@@ -144,17 +144,17 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the assigner still holds the connection."""
+        """Whether the assigner has not closed the connection."""
         return not self._reading.done()
 
     def ping(self, *reports: bytes) -> None:
-        """Reports, and asks whether the assigner is alive."""
+        """Sends reports and a PING."""
         self.sent += 1
         with suppress(ConnectionError):
             self._writer.write(b"".join(reports) + resp_command("PING"))
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Aborts the connection."""
         self._writer.transport.abort()
 
     async def _read(self) -> None:
@@ -166,7 +166,7 @@
                 buffered = buffered[-len(PONG) + 1 :] if PONG not in buffered[-len(PONG) :] else b""
 
 
-# What a crowd of strangers says: nothing, half a message, another protocol, an endless length.
+# Nothing, half a message, other protocols, lengths above every limit.
 UNKNOWN_CLIENT_DATA = (
     b"",
     b"*1\r\n$4\r\nPI",
@@ -177,15 +177,15 @@
 )
 
 
-async def is_answered_or_closed(connect: Callable[[], Any], said: bytes, limit_s: float) -> bool:
-    """Whether a stranger that says this is answered or closed in time."""
+async def is_answered_or_closed(connect: Callable[[], Any], data: bytes, timeout_s: float) -> bool:
+    """Whether a client that sends this data is answered or closed in time."""
     try:
         reader, writer = await connect()
     except OSError:
         return True
     try:
-        writer.write(said)
-        await asyncio.wait_for(reader.read(1), limit_s)
+        writer.write(data)
+        await asyncio.wait_for(reader.read(1), timeout_s)
     except ConnectionError:
         return True
     except TimeoutError:
--- a/benchmarks/_soak_run.py
+++ b/benchmarks/_soak_run.py
@@ -1,4 +1,4 @@
-"""One life of the real program in a soak: its start, drawn faults, rest, and its end."""
+"""One run of the program in a soak: start, injected faults, recovery and exit."""
 
 import asyncio
 import json
@@ -46,21 +46,21 @@
 PING_INTERVAL_S = 0.2
 PING_TIMEOUT_S = 3.0
 UNKNOWN_CLIENT_TIMEOUT_S = 6.0
-EXIT_TIMEOUT_S = 0.7  # from SIGTERM: the page's earliest
+EXIT_TIMEOUT_S = 0.7  # the shortest documented time from SIGTERM to SIGKILL
 SETTLE_S = 6.0
 RESYNC_S = 1.5
 OLD_RELAY_CLOSE_DELAY_S = 1.5
 MAX_STEP_INTERVAL_S = 0.6
 UNKNOWN_CLIENT_COUNT = 200
 STATE_DAMAGE_PROBABILITY = 0.4
-MAX_EXTRA_DESCRIPTORS = 12  # at rest, beyond those at the first rest: health checks come and go
+MAX_EXTRA_DESCRIPTORS = 12  # open health checks vary the count
 MAX_EXTRA_MEMORY_KB = 12_000
-STATE_DAMAGES = ("torn log", "junk snapshot", "foreign names", "pipe")
+STATE_DAMAGES = ("truncated log", "corrupt snapshot", "unknown files", "pipe")
 
 
 @dataclass
 class RunReport:
-    """What one life showed."""
+    """The start time, the steps and the faults of one run."""
 
     ready_s: float = 0.0
     steps: list[str] = field(default_factory=list)
@@ -68,14 +68,14 @@
 
 
 class Scenario:
-    """The platform, the files and the draws of one seed, over several lives."""
+    """The stub peers, the files and the random generator of one seed, shared by its runs."""
 
     def __init__(self, folder: Path, seed: int) -> None:
-        """Draws what lasts; `start` brings the stand-ins up."""
+        """Draws what all runs share; `start` starts the stubs."""
         self.random = random.Random(seed)
         self.folder = folder
-        # On a loopback address of its own: at the common one, another seed's stand-in might take
-        # the port between two lives.
+        # Each seed has its own loopback address: on a shared one, another seed's stub might take
+        # the port between two runs.
         host = f"127.0.{1 + seed // SEEDS_PER_SUBNET}.{1 + seed % SEEDS_PER_SUBNET}"
         self.listen = f"{host}:{free_address().rpartition(':')[2]}"
         recorder = Recorder()
@@ -91,7 +91,7 @@
         self.state_folder = folder / "state"
 
     async def start(self) -> None:
-        """Brings the stand-ins up and writes the files."""
+        """Starts the stubs and writes the configuration and the operator's file."""
         for listener in (self.relay, self.discovery, *self.servers.values()):
             await listener.start()
         for name, server in self.servers.items():
@@ -101,17 +101,17 @@
         (self.folder / "operator.conf").write_text(text)
 
     def close(self) -> None:
-        """Ends the stand-ins."""
+        """Closes the stubs."""
         for listener in (*self.relays, self.discovery, *self.servers.values()):
             listener.close()
 
     @property
     def config_file(self) -> Path:
-        """The configuration's file."""
+        """The path of the program's configuration."""
         return self.folder / "config.json"
 
     def write_configuration(self) -> None:
-        """Puts a complete configuration in place at once."""
+        """Replaces the configuration atomically."""
         text = json.dumps(
             {
                 "name": "n1",
@@ -127,23 +127,23 @@
         new.replace(self.config_file)
 
     def damage_state(self) -> str:
-        """Does to the state folder what disks and people do between two lives."""
+        """Damages the state folder between two runs and returns a description."""
         kinds = [kind for kind in STATE_DAMAGES if self.random.random() < STATE_DAMAGE_PROBABILITY]
         logs = [path for path in self.state_folder.glob("log-*") if path.name[4:].isdigit()]
         if not logs:
-            return "none yet"
+            return "no log yet"
         newest = max(int(path.name[4:]) for path in logs)
         for kind in kinds:
             self._damage(kind, newest)
-        return ", ".join(kinds) or "as it was"
+        return ", ".join(kinds) or "undamaged"
 
     def _damage(self, kind: str, newest: int) -> None:
-        if kind == "torn log":
+        if kind == "truncated log":
             log = self.state_folder / f"log-{newest}"
             log.write_bytes(log.read_bytes()[:-3])
-        elif kind == "junk snapshot":
+        elif kind == "corrupt snapshot":
             (self.state_folder / f"snapshot-{newest}").write_bytes(b"junk")
-        elif kind == "foreign names":
+        elif kind == "unknown files":
             for name in ("damaged-notes", "snapshot-07", "log-1.bak"):
                 (self.state_folder / name).write_text("by hand")
         else:
@@ -152,10 +152,10 @@
 
 
 class ProgramRun:
-    """One run of the program among the stand-ins of a scene."""
+    """One run of the program with the stub peers of a scenario."""
 
     def __init__(self, scenario: Scenario, seconds: float) -> None:
-        """`seconds`: how long faults go on."""
+        """`seconds`: how long faults are injected."""
         self.scenario = scenario
         self.report = RunReport()
         self._seconds = seconds
@@ -163,10 +163,10 @@
         self._collectors: list[PingingCollector] = []
         self._process: subprocess.Popen[bytes] | None = None
         self._keep_pinging = True
-        self._settled_offset = 0  # bytes of the log
+        self._settled_offset = 0  # size of the log when all had settled
 
     async def run(self) -> RunReport:
-        """Plays the life and returns what it showed."""
+        """Runs the program and returns the report."""
         if self.scenario.persists_state:
             self.report.steps.append(f"state folder: {self.scenario.damage_state()}")
         with tempfile.TemporaryFile() as stderr:
@@ -186,7 +186,7 @@
     def _add_fault(self, text: str) -> None:
         self.report.faults.append(text)
 
-    # Start and end
+    # Start and exit
 
     def _start(self, stderr: IO[bytes]) -> None:
         environment = {**os.environ, CONFIGURATION_VARIABLE: str(self.scenario.config_file)}
@@ -204,8 +204,8 @@
         )
 
     async def _run_program(self, stderr: IO[bytes]) -> None:
-        early = self._random.random() < 0.3
-        if early:
+        signals_early = self._random.random() < 0.3
+        if signals_early:
             await self._wait_for_program()
             self._send_signals(signal.SIGHUP, signal.SIGUSR1, signal.SIGHUP)
         if not await self._wait_until_ready():
@@ -217,12 +217,13 @@
         await self._settle()
         if self._descriptor_count() > descriptors + MAX_EXTRA_DESCRIPTORS:
             self._add_fault(
-                f"descriptors: {descriptors} before, {self._descriptor_count()} at rest"
+                f"descriptors: {descriptors} before, {self._descriptor_count()} after settling"
             )
         if self._memory_kb() > memory_kb + MAX_EXTRA_MEMORY_KB:
-            self._add_fault(f"memory: {memory_kb} KB before, {self._memory_kb()} at rest")
+            self._add_fault(f"memory: {memory_kb} KB before, {self._memory_kb()} after settling")
         self._check_tables()
-        # Read back, a table that is not the one believed is one line of the log.
+        # The new watch sends the published tables; one that differs from the assigner's view is
+        # logged as `snapshot_differs`.
         self._settled_offset = stderr.seek(0, os.SEEK_END)
         self.scenario.relay.reset_watches(1)
         await asyncio.sleep(RESYNC_S)
@@ -231,7 +232,7 @@
         await pinging
 
     async def _wait_for_program(self) -> None:
-        """Waits until the shell has given way to the program: before, signals are the shell's."""
+        """Waits until the shell has executed the program; before, the shell would get signals."""
         assert self._process
         command = Path(f"/proc/{self._process.pid}/cmdline")
         while b"havendyke\0" not in command.read_bytes() or b"trap" in command.read_bytes():
@@ -247,14 +248,14 @@
                 return True
             assert self._process
             if self._process.poll() is not None:
-                self._add_fault(f"ended at its start with status {self._process.returncode}")
+                self._add_fault(f"exited at its start with status {self._process.returncode}")
                 return False
             await asyncio.sleep(0.01)
         self._add_fault("not ready in 30 s")
         return False
 
     async def _terminate(self) -> None:
-        """SIGTERM, others with it; collectors go on until the kill."""
+        """Sends SIGTERM or SIGINT, also with other signals; collectors report until the kill."""
         assert self._process
         series = self._random.choice(
             (
@@ -269,7 +270,7 @@
         try:
             status = await asyncio.to_thread(self._process.wait, EXIT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
-            self._add_fault(f"still there {EXIT_TIMEOUT_S} s after its end was asked for")
+            self._add_fault(f"still running {EXIT_TIMEOUT_S} s after SIGTERM or SIGINT")
             return
         if status != 0:
             self._add_fault(f"exit status {status}")
@@ -289,7 +290,7 @@
         self._collectors.append(PingingCollector(zone, *await self._connect()))
 
     async def _ping_collectors(self) -> None:
-        """Each collector reports and asks PING; an answer that is late is a fault."""
+        """Sends each collector's reports and PINGs; a late answer is a fault."""
         behind_since: dict[PingingCollector, float] = {}
         while self._keep_pinging:
             for collector in [c for c in self._collectors if c.is_open]:
@@ -323,51 +324,51 @@
         await (STEPS | {"crowd": ProgramRun.connect_unknown_clients})[name](self)
 
     async def break_calls(self) -> None:
-        """The next calls end in drawn ways, and a server drains so that there are some."""
+        """Draws the outcomes of the next calls and drains a server, which causes calls."""
         call_outcomes = [self._random.choice(list(CallOutcome)) for _ in range(3)]
         self.report.steps += [outcome.value for outcome in call_outcomes]
         self.scenario.relay.call_outcomes += call_outcomes
         await self.drain_server()
 
     async def drain_server(self) -> None:
-        """A server drains, and comes back after a start."""
+        """A server drains and is ready again after a restart."""
         name = self._random.choice(SERVERS)
         self.scenario.discovery.update_states(**{name: "terminating"})
         await asyncio.sleep(self._random.random())
         self.scenario.discovery.restart_server(name, round(time.time() * 1000))
 
     async def reset_relay_watches(self) -> None:
-        """One watch of the relay breaks, or both."""
+        """Resets one or both watches of the relay."""
         self.scenario.relay.reset_watches(self._random.choice((1, 2)))
 
     async def send_invalid_notification(self) -> None:
-        """The relay's watch brings a message that no protocol has."""
+        """The relay's watch sends an invalid notification."""
         self.scenario.relay.send_invalid_notification(self._random.choice(INVALID_NOTIFICATIONS))
 
     async def reset_discovery_watches(self) -> None:
-        """One watch of discovery breaks, or both."""
+        """Resets one or both watches of discovery."""
         self.scenario.discovery.reset_watches(self._random.choice((1, 2)))
 
     async def send_unreadable_list_change(self) -> None:
-        """A change of the list cannot be read."""
+        """Discovery's watches send a change of the list that cannot be read."""
         self.scenario.discovery.send_unreadable_change(self._random.choice(SERVERS))
 
     async def replace_proxy(self) -> None:
-        """A proxy leaves and comes back."""
+        """A proxy disconnects and connects again."""
         proxy = self._random.choice((1, 2, 3))
         self.scenario.relay.disconnect_proxy(proxy)
         await asyncio.sleep(self._random.random() / 2)
         self.scenario.relay.connect_proxy(proxy, "ab"[proxy % 2])
 
     async def reassign_slice(self) -> None:
-        """A slice is withdrawn and given back."""
+        """A slice is withdrawn and assigned again."""
         number = self._random.randrange(SLICES)
         table = self.scenario.relay.unassign_slice(number)
         await asyncio.sleep(self._random.random() / 2)
         self.scenario.relay.assign_slice(number, table)
 
     async def change_relay_address(self) -> None:
-        """SIGHUP moves the relay; the old address closes its connections 1.5 s later."""
+        """SIGHUP reloads another relay address; the old relay closes its connections later."""
         old_relay = self.scenario.relay
         self.scenario.relay = next(
             relay for relay in self.scenario.relays if relay is not old_relay
@@ -380,28 +381,28 @@
         old_relay.close()
 
     async def reload_truncated_configuration(self) -> None:
-        """SIGHUP while the file is torn, then with a complete one."""
-        whole = self.scenario.config_file.read_bytes()
-        self.scenario.config_file.write_bytes(whole[: len(whole) // 2])
+        """SIGHUP with a truncated configuration file, then with a complete one."""
+        complete = self.scenario.config_file.read_bytes()
+        self.scenario.config_file.write_bytes(complete[: len(complete) // 2])
         self._send_signals(signal.SIGHUP)
         await asyncio.sleep(0.1)
         self.scenario.write_configuration()
         self._send_signals(signal.SIGHUP)
 
     async def send_signal_series(self) -> None:
-        """Signals that change nothing, several at once."""
+        """Sends several signals that change nothing."""
         numbers = (signal.SIGHUP, signal.SIGUSR1, signal.SIGUSR2)
         self._send_signals(*(self._random.choice(numbers) for _ in range(5)))
 
     async def fail_server(self) -> None:
-        """A server's health checks fail for a while."""
+        """A server fails its health checks for up to a second."""
         server = self.scenario.servers[self._random.choice(SERVERS)]
         server.healthy = False
         await asyncio.sleep(self._random.random())
         server.healthy = True
 
     async def connect_unknown_clients(self) -> None:
-        """Hundreds of strangers at once; each is answered or closed in time."""
+        """Many unknown clients connect at once; each must be answered or closed in time."""
         served = await asyncio.gather(
             *(
                 is_answered_or_closed(
@@ -414,28 +415,29 @@
         )
         if not all(served):
             self._add_fault(
-                f"{served.count(False)} strangers kept for {UNKNOWN_CLIENT_TIMEOUT_S} s"
+                f"{served.count(False)} unknown clients neither answered nor closed in "
+                f"{UNKNOWN_CLIENT_TIMEOUT_S} s"
             )
 
     # Checks
 
     async def _settle(self) -> None:
-        """Everything works again, and all comes to rest."""
+        """Ends all faults and waits until the program has recovered."""
         for relay in self.scenario.relays:
             relay.call_outcomes.clear()
         self.scenario.discovery.update_states(**dict.fromkeys(SERVERS, "in_service"))
         await asyncio.sleep(SETTLE_S)
-        open_ones = [collector for collector in self._collectors if collector.is_open]
-        if len(open_ones) < len(self._collectors):
+        connected = [collector for collector in self._collectors if collector.is_open]
+        if len(connected) < len(self._collectors):
             self._add_fault(
-                f"{len(self._collectors) - len(open_ones)} named collectors were closed"
+                f"{len(self._collectors) - len(connected)} named collectors were closed"
             )
 
     def _check_tables(self) -> None:
         for number, table in self.scenario.store.tables.items():
             usable = [name for name in table if name not in self.scenario.store.ejected]
             if not usable:
-                self._add_fault(f"slice {number} has no server at rest: {table}")
+                self._add_fault(f"slice {number} has no server after settling: {table}")
 
     def _descriptor_count(self) -> int:
         assert self._process
@@ -448,11 +450,11 @@
 
     def _check_log(self, stderr: IO[bytes]) -> None:
         stderr.seek(self._settled_offset)
-        after_rest = stderr.read() if self._settled_offset else b""
+        after_settling = stderr.read() if self._settled_offset else b""
         stderr.seek(0)
         self.report.faults += log_faults(stderr.read().decode(errors="replace"))
-        if b'"snapshot_differs"' in after_rest:
-            self._add_fault("at rest the store's tables are not the ones believed")
+        if b'"snapshot_differs"' in after_settling:
+            self._add_fault("published tables differ from the assigner's view after settling")
 
     def _check_state(self) -> None:
         if not self.scenario.persists_state or not self.report.ready_s:
--- a/benchmarks/_stub_peers.py
+++ b/benchmarks/_stub_peers.py
@@ -1,8 +1,8 @@
-"""The platform round one assigner, on loopback: discovery, the relay, servers and collectors.
+"""Stub peers of one assigner on loopback: discovery, the relay, servers and collectors.
 
-Each stand-in answers as its protocol's page has it and hands every message that it receives, to the
-byte, to a `Recorder`. Written for recorded exchanges: nothing here fails but where a script says
-so, and all times that a stand-in states are constants."""
+Each stub follows its protocol's documentation and passes the exact bytes of every message that it
+receives to a `Recorder`. The stubs are deterministic, for recorded exchanges: they fail only where
+a script tells them to, and all times that they report are constants."""
 
 import asyncio
 import json
@@ -12,10 +12,10 @@
 from typing import Any
 
 HOST = "127.0.0.1"
-PING_INTERVAL_S = 0.5  # signs of life of the relay and of discovery
-ACK_DELAY_S = 0.02  # from the answer to a call to the proxies' acknowledgements
+PING_INTERVAL_S = 0.5  # keepalives of the relay and of discovery
+ACK_DELAY_S = 0.02  # from the relay's reply to the proxies' acknowledgements
 REPORTED_ACK_LATENCY_MS = 5.0
-# The other side ended it, or sent what the protocol does not have; the recording has its bytes.
+# The assigner closed the connection or sent an invalid message, whose bytes are recorded.
 CONNECTION_ERRORS = (asyncio.IncompleteReadError, ConnectionError, ValueError, KeyError)
 HEADER_END = b"\r\n\r\n"
 CHUNKED_RESPONSE_HEADER = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -25,7 +25,7 @@
 
 @dataclass
 class ReceivedMessage:
-    """One message as a stand-in received it, and the script's step at that time."""
+    """One message as a stub received it, with the script's step at that time."""
 
     step: str
     peer: str
@@ -34,21 +34,21 @@
 
 @dataclass
 class Recorder:
-    """All messages that stand-ins have received, in order."""
+    """All messages that the stubs have received, in order."""
 
     step: str = ""
     messages: list[ReceivedMessage] = field(default_factory=list)
 
     def record(self, peer: str, data: bytes) -> None:
-        """Notes a message of the current step."""
+        """Adds a message to the current step."""
         self.messages.append(ReceivedMessage(self.step, peer, data))
 
 
 class Listener:
-    """A stand-in that listens at an address of its own."""
+    """A stub that listens on its own address."""
 
     def __init__(self, name: str, recorder: Recorder) -> None:
-        """Names the stand-in as the recording does."""
+        """`name`: the peer's name in the recording."""
         self.name = name
         self.recorder = recorder
         self.address = ""
@@ -56,19 +56,19 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listens at a free port."""
+        """Listens on a free port."""
         self._server = await asyncio.start_server(self._accept, HOST, 0)
         self.address = "{}:{}".format(*self._server.sockets[0].getsockname())
 
     def close(self) -> None:
-        """Stops listening and ends all connections."""
+        """Stops listening and aborts all connections."""
         if self._server:
             self._server.close()
         for writer in self._writers:
             writer.transport.abort()
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves one connection until it ends."""
+        """Serves one connection until it is closed."""
         raise NotImplementedError
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -82,15 +82,15 @@
 
 
 def chunk(body: bytes) -> bytes:
-    """A chunk of an HTTP body."""
+    """A chunk of a chunked HTTP body."""
     return b"%x\r\n%s\r\n" % (len(body), body)
 
 
 class Discovery(Listener):
-    """Serves the endpoint list, complete and as watches."""
+    """Serves the complete endpoint list and watches of its changes."""
 
     def __init__(self, recorder: Recorder) -> None:
-        """Begins with an empty list at revision 1."""
+        """The list is empty and at revision 1."""
         super().__init__("discovery", recorder)
         self.revision = 1
         self.entries: dict[str, dict[str, Any]] = {}
@@ -119,7 +119,7 @@
             self._watchers.discard(writer)
 
     def update_states(self, **states: str) -> None:
-        """Gives servers new states and notifies the watches."""
+        """Sets the states of servers and notifies the watches."""
         self.revision += 1
         for name, state in states.items():
             self.entries[name]["state"] = state
@@ -137,25 +137,25 @@
 
 
 def notification(method: str, **params: object) -> dict[str, object]:
-    """A message of the relay's watch."""
+    """A JSON-RPC notification of the relay's watch."""
     return {"jsonrpc": "2.0", "method": method, **({"params": params} if params else {})}
 
 
 def json_line(message: dict[str, object]) -> bytes:
-    """A message on a line of its own."""
+    """A message as one line of JSON."""
     return json.dumps(message).encode() + b"\n"
 
 
 @dataclass
 class Store:
-    """The published tables and the proxies, as relays have them in common."""
+    """The published tables and the connected proxies, shared by the relays."""
 
     tables: dict[int, dict[str, float]]
-    proxies: dict[int, str]  # zones by proxy
+    proxies: dict[int, str]  # zone of each proxy
     ejected: set[str] = field(default_factory=set)
 
     def apply_order(self, order: dict[str, Any]) -> None:
-        """Applies an order to the tables."""
+        """Applies an order to the tables and to the ejected servers."""
         if order["op"] == "SET":
             self.tables[order["table"]].pop(order["host"], None)
             if order["share"] > 0:
@@ -169,17 +169,17 @@
 
 
 class Relay(Listener):
-    """Carries orders out and serves its watch."""
+    """Applies orders to a store and serves watches of it."""
 
     def __init__(self, name: str, recorder: Recorder, store: Store) -> None:
-        """Serves a store, which may be that of another relay."""
+        """The store may be shared with another relay."""
         super().__init__(name, recorder)
         self.closes_on_next_call = False
         self._store = store
         self._watchers: set[asyncio.StreamWriter] = set()
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers requests until the other side ends the connection."""
+        """Answers requests until the connection is closed."""
         while True:
             text = await reader.readuntil(b"\n")
             self.recorder.record(self.name, text)
@@ -193,27 +193,27 @@
             self._answer_call(request, writer)
 
     def notify(self, method: str, **params: object) -> None:
-        """Notifies all watches."""
+        """Sends a notification to all watches."""
         for writer in self._watchers:
             writer.write(json_line(notification(method, **params)))
 
     def connect_proxy(self, proxy: int, zone: str) -> None:
-        """A proxy's stream comes up."""
+        """Connects a proxy's stream."""
         self._store.proxies[proxy] = zone
         self.notify("SUBSCRIBE", **self._proxy_params(proxy))
 
     def disconnect_proxy(self, proxy: int) -> None:
-        """A proxy's stream goes down."""
+        """Closes a proxy's stream."""
         del self._store.proxies[proxy]
         self.notify("CLOSED", sidecar=proxy)
 
     def unassign_slice(self, number: int) -> dict[str, float]:
-        """Ends the assignment of a slice and returns its table."""
+        """Withdraws a slice from the assigner and returns its table."""
         self.notify("GRANT", partition=number, yes=False)
         return self._store.tables.pop(number)
 
     def assign_slice(self, number: int, table: dict[str, float]) -> None:
-        """Assigns a slice and tells its table."""
+        """Assigns a slice and sends its table."""
         self._store.tables[number] = table
         for message in self._assignment_messages(number):
             self.notify(**message)
@@ -223,10 +223,10 @@
         return {"sidecar": proxy, "az": zone, "share": 3.0, "standing": True}
 
     def _assignment_messages(self, number: int) -> list[dict[str, Any]]:
-        rows = self._store.tables[number].items()
+        entries = self._store.tables[number].items()
         return [
             {"method": "GRANT", "partition": number, "yes": True},
-            *({"method": "ROW", "partition": number, "host": h, "share": w} for h, w in rows),
+            *({"method": "ROW", "partition": number, "host": h, "share": w} for h, w in entries),
         ]
 
     async def _serve_watch(
@@ -278,14 +278,14 @@
 
 
 def resp_command(*parts: str) -> bytes:
-    """A message of a collector."""
+    """A message of a collector, as an array of bulk strings."""
     encoded = [part.encode() for part in parts]
     bulks = b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in encoded)
     return b"*%d\r\n" % len(parts) + bulks
 
 
 class Collector:
-    """Connects to the assigner's own address and records what it answers."""
+    """Connects to the assigner's listening address and records its answers."""
 
     def __init__(
         self,
@@ -294,7 +294,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Takes over a connection."""
+        """Starts reading from an open connection."""
         self.name = name
         self._recorder = recorder
         self._reader = reader
@@ -308,11 +308,11 @@
         return cls(name, recorder, *await asyncio.open_connection(host, int(port)))
 
     def send(self, *messages: bytes) -> None:
-        """Writes messages."""
+        """Sends messages."""
         self._writer.write(b"".join(messages))
 
     async def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection."""
         self._writer.close()
         await self._reading
 
--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -1,26 +1,26 @@
-"""Whether the real program exchanges with its peers what an earlier commit did: `exchange --against
-COMMIT [--plays N]`.
+"""Compares the messages that the program and an earlier commit exchange with their peers:
+`exchange --against COMMIT [--plays N]`.
 
-Both versions run at the same time, each by the `run` command of its own deploy file, on loopback
-and among stand-ins of its own, through the same script (`_exchange_script`). What each peer has
-received is compared to the byte, but for what follows the clock:
+Both versions run at the same time on loopback, each by the `run` command of its own deploy file and
+with its own stub peers, through the same script (`_exchange_script`). The bytes that each peer
+receives are compared, except what depends on timing:
 
-- Addresses stand as the names of their stand-ins.
-- Of requests to discovery and of health checks, their number and time are not compared: each
-  request counts once for the whole exchange.
-- Of calls to the relay and of requests for its watch, the `id` is masked, and `nonce_out` in calls.
-  How the orders of a step are divided into calls, their sequence and repeats are not compared: each
-  order counts once a step.
+- Addresses are replaced by the names of their stubs.
+- The number and times of requests to discovery and of health checks are not compared: equal
+  requests count once for the whole exchange.
+- In calls to the relay and requests for its watch, `id` is masked, and in calls `nonce_out`. The
+  division of a step's orders into calls, their sequence and repeats are not compared: equal orders
+  count once in a step.
 
-What a collector is answered is compared as it is. Two equal versions may still decide otherwise on
-a busy machine, where an answer or a timer comes late. A play that shows a difference is therefore
-repeated, and a difference is one that shows in each play.
+Answers to collectors are compared unchanged. On a busy machine, a late answer or timer may lead two
+equal versions to different decisions. A play with a difference is therefore repeated; the result is
+a difference only if every play has one.
 
-Not covered: orders to which the script does not lead (`DEL`, `IN`), the log, the counters, state on
-disk, timeouts and their lengths, lost or silent connections but for one call, malformed messages of
-discovery and of the relay, and load.
+Not covered: orders that the script does not cause (`DEL`, `IN`), the log, the counters, state on
+disk, timeouts and their lengths, lost or silent connections except for one call, malformed messages
+of discovery and of the relay, and load.
 
-Status 0: no difference; 1: some; 2: the versions could not be compared."""
+Exit status 0: no difference; 1: some; 2: the versions could not be compared."""
 
 import argparse
 import asyncio
@@ -48,12 +48,12 @@
 REQUEST = re.compile(r'("id":)[0-9]+')
 NONCE = re.compile(r'("nonce_out":)[0-9]+')
 
-# By step and peer, what the peer received.
+# The messages that a peer received in a step, by step and peer.
 Transcript = dict[tuple[str, str], list[str]]
 
 
 class Options(argparse.ArgumentParser):
-    """A parser whose complaint is one line."""
+    """A parser that raises instead of printing its usage."""
 
     def error(self, message: str) -> NoReturn:
         """Raises `VersionError`."""
@@ -62,7 +62,7 @@
 
 @dataclass
 class Difference:
-    """What one peer received in a step of one version alone."""
+    """The messages of a peer in a step that only one of the versions sent."""
 
     step: str
     peer: str
@@ -72,7 +72,7 @@
 
 @dataclass
 class Comparison:
-    """What the plays have shown; the figures and differences are those of the last play."""
+    """The number of plays, and the counts and differences of the last one."""
 
     plays: int = 0
     messages: dict[str, int] = field(default_factory=dict)
@@ -81,7 +81,7 @@
 
 
 def call_parts(text: str) -> list[str]:
-    """A call's envelope and its orders, without what follows the clock."""
+    """A call's envelope and its orders, with ids and nonces masked."""
     match = CALL.fullmatch(text)
     if match is None:
         return [REQUEST.sub(r"\1#", text)]
@@ -90,7 +90,7 @@
 
 
 def transcript(messages: Iterable[ReceivedMessage], names: dict[str, str]) -> Transcript:
-    """The messages in the form in which they are compared; `names` are those of addresses."""
+    """The messages in the form in which they are compared; `names`: the peer at each address."""
     peers: Transcript = {}
     for message in messages:
         text = message.data.decode(errors="backslashreplace")
@@ -103,27 +103,27 @@
 
 
 def canonical(peer: str, texts: list[str]) -> list[str]:
-    """Each text once and in order, where the clock decides on number and sequence."""
+    """Sorted texts without duplicates, where number and sequence depend on timing."""
     if peer in RELAYS or peer in PERIODIC_PEERS:
         return sorted(set(texts))
     return ["".join(texts)]
 
 
 def differences(earlier: Transcript, present: Transcript) -> list[Difference]:
-    """What stands in one transcript alone."""
+    """The messages that are in only one of the transcripts."""
     found = []
     for step, peer in dict.fromkeys([*earlier, *present]):
-        before, now = earlier.get((step, peer), []), present.get((step, peer), [])
-        if before != now:
-            only_before = [text for text in before if text not in now]
-            only_now = [text for text in now if text not in before]
-            found.append(Difference(step, peer, only_before, only_now))
+        old, new = earlier.get((step, peer), []), present.get((step, peer), [])
+        if old != new:
+            only_old = [text for text in old if text not in new]
+            only_new = [text for text in new if text not in old]
+            found.append(Difference(step, peer, only_old, only_new))
     return found
 
 
 @dataclass
 class Play:
-    """How one version went through the script."""
+    """One version's transcript, number of messages and exit status."""
 
     transcript: Transcript
     messages: int
@@ -171,19 +171,19 @@
 
 
 def agrees(result: Comparison) -> bool:
-    """Whether the last play showed no difference."""
+    """Whether the last play had no difference."""
     return not result.differences and len(set(result.exit_statuses.values())) == 1
 
 
 def parse_count(text: str) -> int:
-    """The number of an option."""
+    """Parses the value of an option that counts."""
     if not re.fullmatch(r"[1-9][0-9]?", text):
         raise argparse.ArgumentTypeError(f"{text} is not a number from 1 to 99")
     return int(text)
 
 
 def read_options(arguments: Sequence[str]) -> argparse.Namespace:
-    """The options of the command line."""
+    """The options of the command line; raises `VersionError`."""
     options = Options(prog="benchmarks exchange")
     options.add_argument("--against", required=True, metavar="COMMIT", help="the earlier version")
     options.add_argument(
@@ -197,12 +197,12 @@
 
 
 def report(commit: str, result: Comparison) -> dict[str, Any]:
-    """What is printed as one line."""
+    """The result that is printed as one line of JSON."""
     return {"benchmark": "exchange", "against": commit, **asdict(result)}
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Runs the comparison and returns its status."""
+    """Runs the comparison and returns the exit status."""
     try:
         options = read_options(arguments)
         commit = commit_of(options.against)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""The recorded exchange of the real program: what it must call the same, what it must catch."""
+"""The comparison of recorded exchanges: equal versions compare equal, changes are found."""
 
 import json
 
@@ -20,14 +20,14 @@
 
 @pytest.fixture
 def played(monkeypatch):
-    """The pairs of plays that were compared."""
+    """The pairs of plays that the test compares."""
     pairs, play_both = [], exchange.play_both
 
-    async def kept(*versions):
+    async def record(*versions):
         pairs.append(await play_both(*versions))
         return pairs[-1]
 
-    monkeypatch.setattr(exchange, "play_both", kept)
+    monkeypatch.setattr(exchange, "play_both", record)
     return pairs
 
 
@@ -65,7 +65,7 @@
         (r'"PONG"', '"pong"', START_AND_REPORTS, "collector"),
     ],
 )
-def test_a_changed_word_is_caught(version, old, new, steps, peer):
+def test_a_changed_message_is_found(version, old, new, steps, peer):
     patch(version, old, new, NET)
     result = exchange.compare(version, exchange.ROOT, 1, steps)
     assert result.plays == 1 and peer in {found.peer for found in result.differences}
@@ -73,7 +73,7 @@
     assert not exchange.agrees(result)
 
 
-def test_another_exit_status_is_caught(version):
+def test_another_exit_status_is_found(version):
     add_at_import(version, "import os\nleave = os._exit\nos._exit = lambda status: leave(3)\n")
     result = exchange.compare(version, exchange.ROOT, 1, START)
     assert result.exit_statuses == {"earlier": 3, "present": 0} and not exchange.agrees(result)
@@ -91,18 +91,18 @@
     )
 
 
-def test_of_a_call_the_numbers_alone_are_masked():
-    one, other, changed = (
+def test_only_the_id_and_the_nonce_of_a_call_are_masked():
+    first, second, changed = (
         exchange.transcript([message], {})
         for message in (call(1, 7, 0.5), call(2, 8, 0.5), call(1, 7, 0.25))
     )
-    assert one == other and len(one["start", "relay"]) == 4
-    (found,) = exchange.differences(one, changed)
+    assert first == second and len(first["start", "relay"]) == 4
+    (found,) = exchange.differences(first, changed)
     assert found.earlier == ['"op":"SET","table":0,"host":"s1","share":0.5']
     assert found.present == ['"op":"SET","table":0,"host":"s1","share":0.25']
 
 
-def test_what_a_peer_of_one_version_alone_receives_is_a_difference():
+def test_messages_of_only_one_version_are_a_difference():
     known = exchange.transcript([call(1, 7, 0.5)], {})
     assert exchange.differences(known, {})[0].present == []
     assert exchange.differences({}, known)[0].earlier == []
@@ -116,7 +116,7 @@
     )
 
 
-def test_a_difference_that_shows_in_each_play_alone_counts(monkeypatch):
+def test_only_a_difference_in_every_play_counts(monkeypatch):
     plays = [exchange.Play({("start", "relay"): [text]}, 1, 0) for text in "abcc"]
 
     async def play_both(*_):
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("statuses, status", [((0, 0), 0), ((0, 3), 1)])
-def test_the_verdict_is_the_status_and_one_line(monkeypatch, capsys, statuses, status):
+def test_the_result_is_the_exit_status_and_one_line(monkeypatch, capsys, statuses, status):
     monkeypatch.setattr(exchange, "commit_of", lambda revision: revision)
     monkeypatch.setattr(exchange, "extract", lambda *_: None)
 
@@ -137,21 +137,21 @@
 
     monkeypatch.setattr(exchange, "play_both", play_both)
     assert exchange.main(["--against", "HEAD", "--plays", "2"]) == status
-    told = json.loads(capsys.readouterr().out)
-    assert told["against"] == "HEAD" and told["plays"] == 1 + status
-    assert list(told["exit_statuses"].values()) == list(statuses)
+    printed = json.loads(capsys.readouterr().out)
+    assert printed["against"] == "HEAD" and printed["plays"] == 1 + status
+    assert list(printed["exit_statuses"].values()) == list(statuses)
 
 
-def test_a_version_that_does_not_start_is_told_in_one_line(version, monkeypatch, capsys):
+def test_a_version_that_does_not_start_is_reported_in_one_line(version, monkeypatch, capsys):
     add_at_import(version, "import no_such_module\n")
     monkeypatch.setattr(exchange, "commit_of", lambda revision: revision)
     monkeypatch.setattr(exchange, "extract", lambda *_: None)
-    compared = exchange.compare
-    monkeypatch.setattr(exchange, "compare", lambda _, *rest: compared(version, *rest))
+    compare = exchange.compare
+    monkeypatch.setattr(exchange, "compare", lambda _, *rest: compare(version, *rest))
     assert exchange.main(["--against", "HEAD"]) == 2
     out, err = capsys.readouterr()
     assert not out and err == (
-        "benchmarks: exchange: earlier: it does not listen: "
+        "benchmarks: exchange: earlier: the program does not listen: "
         "ModuleNotFoundError: No module named 'no_such_module'\n"
     )
 
@@ -166,7 +166,7 @@
         [],
     ],
 )
-def test_an_unknown_commit_and_bad_options_are_told_in_one_line(capsys, options):
+def test_an_unknown_commit_and_bad_options_are_reported_in_one_line(capsys, options):
     assert exchange.main(options) == 2
     out, err = capsys.readouterr()
     assert not out and err.startswith("benchmarks: exchange: ") and err.count("\n") == 1
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of the real program, and what its checks find."""
+"""A short soak of the program, and the checks of the soak."""
 
 import asyncio
 import json
@@ -9,7 +9,7 @@
 from benchmarks._soak_log import log_faults
 from benchmarks._soak_run import RunReport
 
-SEEDS, LIVES, FAULT_SECONDS = range(1, 4), 2, 4.0
+SEEDS, RUNS_PER_SEED, FAULT_SECONDS = range(1, 4), 2, 4.0
 
 
 def log(*entries):
@@ -17,9 +17,9 @@
 
 
 def test_a_short_soak_finds_no_fault():
-    reports = asyncio.run(soak.play(SEEDS, LIVES, FAULT_SECONDS, jobs=len(SEEDS)))
+    reports = asyncio.run(soak.run_seeds(SEEDS, RUNS_PER_SEED, FAULT_SECONDS, jobs=len(SEEDS)))
     assert soak.faults(reports) == []
-    assert sum(len(run.steps) for lives in reports.values() for run in lives) > 20
+    assert sum(len(run.steps) for runs in reports.values() for run in runs) > 20
 
 
 @pytest.mark.parametrize(
@@ -27,18 +27,21 @@
     [
         (log(("start", {}), ("fleet_summary", {"unpublished": 0})), []),
         (log(("relay_unavailable", {}), ("relay_available", {})), []),
-        (log(("relay_available", {}), ("relay_unavailable", {})), ["at rest the relay is away"]),
-        (log(("fleet_summary", {"unpublished": 3})), ["at rest unpublished is 3"]),
-        (log(("hm", {})), ["an event that the register lacks: hm"]),
+        (
+            log(("relay_available", {}), ("relay_unavailable", {})),
+            ["after settling, relay is unavailable"],
+        ),
+        (log(("fleet_summary", {"unpublished": 3})), ["after settling, unpublished is 3"]),
+        (log(("hm", {})), ["unregistered event: hm"]),
         ("Traceback", ["standard error: Traceback"]),
-        (log(("failure", {"peer": "relay"})), ["a defect: {'event': 'failure', 'peer': 'relay'}"]),
+        (log(("failure", {"peer": "relay"})), ["defect: {'event': 'failure', 'peer': 'relay'}"]),
     ],
 )
-def test_the_log_of_a_life_may_not_show_what_is_no_rest(text, faults):
+def test_log_faults_reports_what_has_not_recovered(text, faults):
     assert log_faults(text) == faults
 
 
-def test_nine_in_ten_starts_must_be_ready_soon():
-    lives = [RunReport(ready_s=0.2)] * 8 + [RunReport(ready_s=12.0), RunReport()]
-    assert soak.faults({1: lives}) == ["8 of 10 starts were ready in 10.0 s"]
-    assert soak.faults({1: lives[:9] + [RunReport(ready_s=9.0)]}) == []
+def test_nine_in_ten_starts_must_be_ready_in_time():
+    runs = [RunReport(ready_s=0.2)] * 8 + [RunReport(ready_s=12.0), RunReport()]
+    assert soak.faults({1: runs}) == ["8 of 10 starts were ready in 10.0 s"]
+    assert soak.faults({1: runs[:9] + [RunReport(ready_s=9.0)]}) == []
