--- a/benchmarks/_soak_peers.py
+++ b/benchmarks/_soak_peers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of a soak: the platform's peers, each able to fail in a drawn way."""
+"""Stub peers of a soak, which can be made to fail."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Any
 
-from ._stand_ins import Discovery, Recorder, Relay, Store, line, resp
+from ._stub_peers import Discovery, Recorder, Relay, Store, json_line, resp_command
 
 BUSY_MESSAGE = "BUSY"
 UNREADABLE_REPLY = b"{]\n"
@@ -15,7 +15,7 @@
 READ_BYTES = 65_536
 
 
-JUNK_NOTIFICATIONS = (
+INVALID_NOTIFICATIONS = (
     b"{]",
     b"\x00\xff",
     b'{"method":["SUBSCRIBE"]}',
@@ -26,148 +26,148 @@
 )
 
 
-class CallEnding(Enum):
-    """How the relay ends a call; a call that is not carried out leaves the store as it is."""
+class CallOutcome(Enum):
+    """How the relay ends a call, and whether the call's orders are applied to the store."""
 
     ANSWERED = "answered"
-    CUT_CARRIED_OUT = "cut, carried out"
-    CUT_DROPPED = "cut, dropped"
-    SILENT_CARRIED_OUT = "silent, carried out"
+    CLOSED_APPLIED = "closed, applied"
+    CLOSED_DROPPED = "closed, dropped"
+    SILENT_APPLIED = "silent, applied"
     SILENT_DROPPED = "silent, dropped"
-    UNREADABLE_CARRIED_OUT = "unreadable reply, carried out"
+    UNREADABLE_APPLIED = "unreadable reply, applied"
     UNREADABLE_DROPPED = "unreadable reply, dropped"
     BUSY = "busy"
 
     @property
-    def carries_out(self) -> bool:
-        """Whether the orders take effect."""
-        return self is CallEnding.ANSWERED or self.value.endswith("carried out")
+    def applies_orders(self) -> bool:
+        """Whether the relay applies the call's orders."""
+        return self is CallOutcome.ANSWERED or self.value.endswith("applied")
 
 
 class FailingRelay(Relay):
-    """A relay whose next calls end as told, and whose watches can be cut."""
+    """A relay whose next calls have given outcomes, and whose watches can be reset."""
 
     def __init__(self, name: str, recorder: Recorder, store: Store) -> None:
-        """Answers every call until `endings` has some."""
+        """Answers every call while `call_outcomes` is empty."""
         super().__init__(name, recorder, store)
-        self.endings: list[CallEnding] = []
+        self.call_outcomes: list[CallOutcome] = []
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers requests until the other side ends the connection, or an ending does."""
+        """Answers requests until the assigner or a call's outcome closes the connection."""
         while True:
             request = json.loads(await reader.readuntil(b"\n"))
             if request["method"] == "relay.watch":
                 await self._serve_watch(request["id"], reader, writer)
                 return
-            ending = self.endings.pop(0) if self.endings else CallEnding.ANSWERED
-            if not await self._end_call(ending, request, reader, writer):
+            outcome = self.call_outcomes.pop(0) if self.call_outcomes else CallOutcome.ANSWERED
+            if not await self._finish_call(outcome, request, reader, writer):
                 return
 
-    def cut_watches(self, count: int) -> None:
-        """Resets so many of the connections that carry the watch."""
+    def reset_watches(self, count: int) -> None:
+        """Resets the connections of at most `count` watches."""
         for writer in list(self._watchers)[:count]:
             writer.transport.abort()
 
-    def say_junk(self, text: bytes) -> None:
-        """Says this on the first connection that carries the watch."""
+    def send_invalid_notification(self, text: bytes) -> None:
+        """Sends this line on the first watch."""
         for writer in list(self._watchers)[:1]:
             writer.write(text + b"\n")
 
-    async def _end_call(
+    async def _finish_call(
         self,
-        ending: CallEnding,
+        outcome: CallOutcome,
         request: dict[str, Any],
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Ends a call; returns whether the connection is still of use."""
-        if ending is CallEnding.ANSWERED:
+        """Ends a call; returns whether the connection stays open."""
+        if outcome is CallOutcome.ANSWERED:
             self._answer_call(request, writer)
             return True
-        if ending is CallEnding.BUSY:
+        if outcome is CallOutcome.BUSY:
             error = {"code": 1, "message": BUSY_MESSAGE}
-            writer.write(line({"jsonrpc": "2.0", "id": request["id"], "error": error}))
+            writer.write(json_line({"jsonrpc": "2.0", "id": request["id"], "error": error}))
             return True
-        if ending.carries_out:
-            self._answer_call(request, _Nowhere())  # type: ignore[arg-type]
-        if ending.value.startswith("unreadable"):
+        if outcome.applies_orders:
+            self._answer_call(request, _DiscardingWriter())  # type: ignore[arg-type]
+        if outcome.value.startswith("unreadable"):
             writer.write(UNREADABLE_REPLY)
-        if not ending.value.startswith("cut"):
+        if not outcome.value.startswith("closed"):
             await reader.read(1)
         return False
 
 
-class _Nowhere:
-    """Takes the reply that is not to arrive."""
+class _DiscardingWriter:
+    """Discards a reply that the caller must not get."""
 
     def write(self, data: bytes) -> None:
-        """Drops it."""
+        """Discards the data."""
 
 
 class FailingDiscovery(Discovery):
-    """Discovery whose watches can be cut, and whose next change may be spoilt."""
+    """Discovery whose watches can be reset, and which can send unreadable changes."""
 
-    def cut_watches(self, count: int) -> None:
-        """Resets so many watches."""
+    def reset_watches(self, count: int) -> None:
+        """Resets the connections of at most `count` watches."""
         for writer in list(self._watchers)[:count]:
             writer.transport.abort()
 
     def restart_server(self, name: str, boot_ms: float) -> None:
-        """A server is ready again after a start just now."""
+        """Makes a server ready with a new start time."""
         self.entries[name]["boot_ms"] = boot_ms
-        self.change(**{name: "in_service"})
+        self.update_states(**{name: "in_service"})
 
-    def spoil_change(self, name: str) -> None:
-        """Notifies the watches of an entry that cannot be read."""
+    def send_unreadable_change(self, name: str) -> None:
+        """Sends the watches an entry whose start time is not a number."""
         entry = self.entries[name]
         self.entries[name] = {**entry, "boot_ms": "soon"}
         self.revision += 1
-        data = self._object(complete=False, names=[name])
+        data = self._list_message(complete=False, names=[name])
         self.entries[name] = entry
         for writer in self._watchers:
             writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
 
 class PingingCollector:
-    """A named collector that reports and asks PING on its open connection until it ends."""
+    """A named collector that sends reports and PINGs until its connection is closed."""
 
     def __init__(
         self, zone: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Takes over a connection and names itself."""
+        """Sends the collector's name on an open connection and starts reading."""
         self.sent = 0
         self.answered = 0
         self._reader = reader
         self._writer = writer
-        writer.write(resp("SOURCE", "az", zone))
+        writer.write(resp_command("SOURCE", "az", zone))
         self._reading = asyncio.create_task(self._read())
 
     @property
     def is_open(self) -> bool:
-        """Whether the assigner still holds the connection."""
+        """Whether the assigner has not closed the connection."""
         return not self._reading.done()
 
     def ping(self, *reports: bytes) -> None:
-        """Reports, and asks whether the assigner is alive."""
+        """Sends reports and a PING."""
         self.sent += 1
         with suppress(ConnectionError):
-            self._writer.write(b"".join(reports) + resp("PING"))
+            self._writer.write(b"".join(reports) + resp_command("PING"))
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Aborts the connection."""
         self._writer.transport.abort()
 
     async def _read(self) -> None:
-        rest = b""
+        buffered = b""
         with suppress(ConnectionError):
             while data := await self._reader.read(READ_BYTES):
-                rest += data
-                self.answered += rest.count(PONG)
-                rest = rest[-len(PONG) + 1 :] if PONG not in rest[-len(PONG) :] else b""
+                buffered += data
+                self.answered += buffered.count(PONG)
+                buffered = buffered[-len(PONG) + 1 :] if PONG not in buffered[-len(PONG) :] else b""
 
 
-# What a crowd of strangers says: nothing, half a message, another protocol, an endless length.
-STRANGERS = (
+# Nothing, half a message, other protocols, lengths above every limit.
+UNKNOWN_CLIENT_DATA = (
     b"",
     b"*1\r\n$4\r\nPI",
     b"\x00\xff\x00garbage\r\n",
@@ -177,15 +177,15 @@
 )
 
 
-async def is_turned_away(connect: Callable[[], Any], said: bytes, limit_s: float) -> bool:
-    """Whether a stranger that says this is answered or closed in time."""
+async def is_answered_or_closed(connect: Callable[[], Any], data: bytes, timeout_s: float) -> bool:
+    """Whether a client that sends this data is answered or closed in time."""
     try:
         reader, writer = await connect()
     except OSError:
         return True
     try:
-        writer.write(said)
-        await asyncio.wait_for(reader.read(1), limit_s)
+        writer.write(data)
+        await asyncio.wait_for(reader.read(1), timeout_s)
     except ConnectionError:
         return True
     except TimeoutError:
