--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -36,12 +36,12 @@
     from havendyke.lab.scale.page import Page
 
     page = Page(record.read_all(folder))
-    checks = page.checked()
+    checks = page.check_predictions()
     return {
         "benchmark": "capacity",
         "records": len(page.records),
         "text": page.records[0]["text"],
-        "text_is_present": page.records[0]["text"]["sources"] == record.text()["sources"],
+        "text_is_present": page.records[0]["text"]["sources"] == record.source_version()["sources"],
         "curves": {
             metric: {
                 "combine": model.combine,
@@ -53,7 +53,9 @@
         "held_out": {
             "within": sum(c.passed for c in checks),
             "of": len(checks),
-            "beyond": [rounded({**asdict(c), "miss": c.miss}) for c in checks if not c.passed],
+            "beyond": [
+                rounded({**asdict(c), "miss": c.relative_error}) for c in checks if not c.passed
+            ],
         },
     }
 
@@ -99,10 +101,10 @@
             print(json.dumps(fitted(options.records)))
         else:
             print(
-                "\n".join(page.rewrite(options.records, PAGES))
+                "\n".join(page.rewrite_pages(options.records, PAGES))
                 or "the pages agree with the records"
             )
-    except (record.BadRecord, page.BadPage) as error:
+    except (record.RecordError, page.PageError) as error:
         return wrong(error)
     return 0
 
--- a/havendyke/cli/lab.py
+++ b/havendyke/cli/lab.py
@@ -63,7 +63,7 @@
 def plan(as_json: bool) -> None:
     """The points of a whole measurement, with their axes."""
     points = {
-        point.name: {"role": point.role, **point.size.described()}
+        point.name: {"role": point.role, **point.size.as_dict()}
         for point in _import_module("size").plan()
     }
     print_result(points, as_json, _format_plan)
@@ -80,7 +80,7 @@
 )
 @click.option(
     "--real",
-    "reals",
+    "real_count",
     type=click.IntRange(0, 3),
     default=0,
     show_default=True,
@@ -92,7 +92,7 @@
 def run(
     axes: Sequence[str],
     workers: int,
-    reals: int,
+    real_count: int,
     into: Path | None,
     name: str,
     seed: int,
@@ -107,7 +107,7 @@
     try:
         point = size.Point(name, "single", size.read_size(_parse_axes(axes)))
         limits = guard.machine_limits(seconds, memory_mb)
-        measured = scale_run.measure(point, seed, workers, limits, reals=reals)
+        measured = scale_run.measure(point, seed, workers, limits, real_count=real_count)
         if into is None:
             print_result(measured, True)
         else:
@@ -148,7 +148,7 @@
     record, plotting = _import_module("record"), _import_module("plot")
     try:
         plotting.draw(record.read_all(records), metric, path)
-    except (record.BadRecord, plotting.NoSuchFigure) as error:
+    except (record.RecordError, plotting.PlotError) as error:
         raise CommandError(str(error)) from None
     click.echo(path)
 
@@ -166,10 +166,10 @@
 def _run_errors() -> tuple[type[Exception], ...]:
     """Returns the errors that are reported in one line: of arguments, limits and workers."""
     return (
-        _import_module("size").BadSize,
-        _import_module("record").BadRecord,
-        _import_module("guard").Exceeded,
-        _import_module("workers").WorkerFailed,
+        _import_module("size").SizeError,
+        _import_module("record").RecordError,
+        _import_module("guard").LimitExceededError,
+        _import_module("workers").WorkerError,
     )
 
 
--- a/havendyke/lab/scale/batch.py
+++ b/havendyke/lab/scale/batch.py
@@ -30,7 +30,7 @@
     todo = [p for p in plan() if only in p.name and not (Path(folder) / f"{p.name}.json").exists()]
 
     def one(point):
-        made = measure(point, seed, workers_for(point), limits, reals=REALS.get(point.name, 0))
+        made = measure(point, seed, workers_for(point), limits, real_count=REALS.get(point.name, 0))
         told(f"{record.write(folder, point.name, made)}")
 
     singles = [p for p in todo if workers_for(p) == 1]
--- a/havendyke/lab/scale/fit.py
+++ b/havendyke/lab/scale/fit.py
@@ -12,9 +12,9 @@
 import numpy
 
 from ...policy.health_checks import CHECKS_PER_SERVER_PER_S
-from .course import RACK
 from .meter import IN, KINDS, OUT
-from .record import BadRecord
+from .record import RecordError
+from .scenario import RACK
 from .size import AXES, Size
 
 FORMS = {
@@ -116,7 +116,7 @@
 
     def predict(self, size: dict) -> float:
         """The metric at a size: {axis: value}; axes left out are the base's."""
-        origin = Size().described()
+        origin = Size().as_dict()
         pairs = [
             (curve.at(place(origin, axis)), curve.at(place({**origin, **size}, axis)))
             for axis, curve in self.curves.items()
@@ -163,7 +163,7 @@
     return slope, intercept, float(numpy.sqrt(((y - intercept - slope * x) ** 2).mean()))
 
 
-def fitted(axis: str, xs, ys) -> Curve:
+def fit_curve(axis: str, xs, ys) -> Curve:
     """The best of the forms, its slope's interval by resampling the residuals."""
     x, y = numpy.array(xs, float), numpy.array(ys, float)
     forms = FORMS if axis not in DERIVED else {"linear"}
@@ -206,7 +206,7 @@
         if len(points) < LEAST_POINTS:
             continue
         xs, ys = zip(*sorted(points))
-        curve = fitted(axis, xs, ys)
+        curve = fit_curve(axis, xs, ys)
         if not flat(curve, xs, base):
             made[axis] = curve
     return made
@@ -217,7 +217,7 @@
     told = [(record, metrics(record)) for record in records]
     base = next((values for record, values in told if record["role"] == "base"), None)
     if base is None:
-        raise BadRecord("no record of the base among these")
+        raise RecordError("no record of the base among these")
     made = {}
     for metric, value in base.items():
         curves = curves_of(metric, told)
@@ -259,7 +259,7 @@
     predicted: float
 
     @property
-    def miss(self) -> float:
+    def relative_error(self) -> float:
         return (self.predicted - self.measured) / self.measured if self.measured else 0.0
 
     @property
--- a/havendyke/lab/scale/guard.py
+++ b/havendyke/lab/scale/guard.py
@@ -10,7 +10,7 @@
 MB = 1 << 20
 
 
-class Exceeded(Exception):
+class LimitExceededError(Exception):
     """A limit was passed, and the run has ended; one line."""
 
 
@@ -34,7 +34,7 @@
         self.me = psutil.Process(os.getpid())
 
     def check(self):
-        """Raises `Exceeded` once a limit is passed."""
+        """Raises `LimitExceededError` once a limit is passed."""
         family = [self.me, *self.me.children(recursive=True)]
         used = 0.0
         for process in family:
@@ -44,14 +44,16 @@
                 continue  # it has ended meanwhile
         self.most_mb = max(self.most_mb, used)
         if used > self.limits.memory_mb:
-            raise Exceeded(
+            raise LimitExceededError(
                 f"the run took {used:.0f} MB of the {self.limits.memory_mb:.0f} that it may, and "
                 "has ended"
             )
         if len(family) > self.limits.processes:
-            raise Exceeded(
+            raise LimitExceededError(
                 f"the run had {len(family)} processes of the {self.limits.processes} that it may, "
                 "and has ended"
             )
         if time.monotonic() - self.began > self.limits.seconds:
-            raise Exceeded(f"the run took longer than {self.limits.seconds:.0f} s, and has ended")
+            raise LimitExceededError(
+                f"the run took longer than {self.limits.seconds:.0f} s, and has ended"
+            )
--- a/havendyke/lab/scale/meter.py
+++ b/havendyke/lab/scale/meter.py
@@ -9,8 +9,8 @@
 IN, OUT = "in", "out"
 KINDS = ("list", "watch", "reports", "probes", "news", "calls")
 LINES = {"news", "calls"}
-PRODUCT = str(Path(__file__).parents[2])
-LABORATORY = str(Path(__file__).parents[1])
+PACKAGE_ROOT = str(Path(__file__).parents[2])
+LAB_ROOT = str(Path(__file__).parents[1])
 
 
 def kind_of(peer) -> str:
@@ -89,7 +89,7 @@
         return made
 
 
-class Operations:
+class InstructionCounter:
     """Counts the interpreter's instructions in the product's own code while it is entered: the same
     every run."""
 
@@ -106,7 +106,7 @@
 
     def called(self, frame, event, argument):
         name = frame.f_code.co_filename
-        if not name.startswith(PRODUCT) or name.startswith(LABORATORY):
+        if not name.startswith(PACKAGE_ROOT) or name.startswith(LAB_ROOT):
             return None
         frame.f_trace_opcodes, frame.f_trace_lines = True, False
         return self.executed
--- a/havendyke/lab/scale/page.py
+++ b/havendyke/lab/scale/page.py
@@ -8,7 +8,7 @@
 from . import fit, record, roles
 from .meter import KINDS
 
-MARK = re.compile(r"<!-- begin (?P<name>[a-z-]+) -->\n.*?<!-- end (?P=name) -->", re.DOTALL)
+TABLE_MARKER = re.compile(r"<!-- begin (?P<name>[a-z-]+) -->\n.*?<!-- end (?P=name) -->", re.DOTALL)
 PARTS = ("judge", "plan", "emit", "ask", "turn", "parse", "send", "timers")
 MECHANISMS = {
     "list": (
@@ -60,7 +60,7 @@
 )
 
 
-class BadPage(ValueError):
+class PageError(ValueError):
     """A page without its marks; one line."""
 
 
@@ -344,12 +344,12 @@
             rows,
         )
 
-    def checked(self) -> list:
+    def check_predictions(self) -> list:
         wanted = [f"{phase}/{unit}" for phase in roles.SITUATIONS for unit in CHECKED]
         return fit.checks(self.records, self.models, wanted)
 
     def held_out(self) -> str:
-        told = self.checked()
+        told = self.check_predictions()
         failed = [c for c in told if not c.passed]
         said = (
             f"{len(told) - len(failed)} of {len(told)} predictions within 25 % or within 1 % "
@@ -363,7 +363,7 @@
                     f"`{c.metric}`",
                     figure(c.measured),
                     figure(c.predicted),
-                    f"{100 * c.miss:+.0f} %",
+                    f"{100 * c.relative_error:+.0f} %",
                 ]
                 for c in failed
             ],
@@ -443,26 +443,26 @@
         )
 
 
-def written(page: str, blocks: dict) -> str:
+def replace_tables(page: str, blocks: dict) -> str:
     """The page with each marked part replaced."""
 
     def replace(found):
         if found["name"] not in blocks:
-            raise BadPage(f"no table is named '{found['name']}'")
+            raise PageError(f"no table is named '{found['name']}'")
         return (
             f"<!-- begin {found['name']} -->\n{blocks[found['name']]}\n<!-- end {found['name']} -->"
         )
 
-    if not MARK.search(page):
-        raise BadPage("a page without a marked table")
-    return MARK.sub(replace, page)
+    if not TABLE_MARKER.search(page):
+        raise PageError("a page without a marked table")
+    return TABLE_MARKER.sub(replace, page)
 
 
-def rewrite(folder: Path, pages: list) -> list:
+def rewrite_pages(folder: Path, pages: list) -> list:
     """Writes the pages anew from the records; returns those that changed."""
     blocks, changed = Page(record.read_all(folder)).blocks(), []
     made = [
-        (path, written(Path(path).read_text(), blocks)) for path in pages
+        (path, replace_tables(Path(path).read_text(), blocks)) for path in pages
     ]  # all of them, before any is written
     for path, text in made:
         if text != Path(path).read_text():
--- a/havendyke/lab/scale/plot.py
+++ b/havendyke/lab/scale/plot.py
@@ -13,7 +13,7 @@
 POINTS = 100  # of a drawn curve
 
 
-class NoSuchFigure(ValueError):
+class PlotError(ValueError):
     """A figure that the records do not have, or a file that cannot be written; one line."""
 
 
@@ -21,12 +21,12 @@
     """Draws a metric's curves into a new file."""
     models = fit.models(records)
     if metric not in models:
-        raise NoSuchFigure(
+        raise PlotError(
             f"no figure is named '{metric[:60]}'; there are calm/bytes, calm/cpu, "
             "release/news/bytes, memory and such"
         )
     if Path(path).exists():
-        raise NoSuchFigure(f"{path}: there is a file already; nothing was overwritten")
+        raise PlotError(f"{path}: there is a file already; nothing was overwritten")
     curves = models[metric].curves
     figure, places = pyplot.subplots(
         1, max(1, len(curves)), squeeze=False, figsize=(4 * max(1, len(curves)), 3.5)
@@ -46,6 +46,6 @@
     try:
         figure.savefig(path)
     except (OSError, ValueError) as error:
-        raise NoSuchFigure(f"{path}: {error}") from None
+        raise PlotError(f"{path}: {error}") from None
     finally:
         pyplot.close(figure)
--- a/havendyke/lab/scale/run.py
+++ b/havendyke/lab/scale/run.py
@@ -6,9 +6,9 @@
 from hdrh.histogram import HdrHistogram
 
 from . import real, record
-from .course import PHASES
 from .guard import Guard, Limits
 from .meter import IN, KINDS, OUT
+from .scenario import PHASES
 from .size import Point, check_machine
 from .workers import Workers
 
@@ -96,7 +96,7 @@
 
 
 def measure(
-    point: Point, seed: int, workers: int, limits: Limits, phases=PHASES, reals: int = 0
+    point: Point, seed: int, workers: int, limits: Limits, phases=PHASES, real_count: int = 0
 ) -> dict:
     """Runs the hollow assigners of a point, then so many real ones; returns its record."""
     check_machine(point.size, workers, limits.memory_mb)
@@ -108,16 +108,18 @@
         "point": point.name,
         "role": point.role,
         "seed": seed,
-        "size": point.size.described(),
+        "size": point.size.as_dict(),
         "workers": workers,
         "machine": record.machine(),
-        "text": record.text(),
+        "text": record.source_version(),
         "memory_mb": {
             "run": round(guard.most_mb, 1),
             "assigner": rounded(sum(grown for _, grown in told) / len(told)),
         },
         "phases": {name: merged([measured[name] for measured, _ in told]) for name in names},
     }
-    if reals:
-        made["real"] = beside(made["phases"]["calm"], real.measure(point.size, seed, reals, guard))
+    if real_count:
+        made["real"] = beside(
+            made["phases"]["calm"], real.measure(point.size, seed, real_count, guard)
+        )
     return made
--- a/havendyke/lab/scale/course.py
+++ b/havendyke/lab/scale/scenario.py
@@ -34,10 +34,15 @@
     Phase("healing", 8, False),
     Phase("region", 6),
 )
-SHORT = (Phase("start", 3), Phase("settling", 3, False), Phase("calm", 6), Phase("release", 9))
+SHORT_PHASES = (
+    Phase("start", 3),
+    Phase("settling", 3, False),
+    Phase("calm", 6),
+    Phase("release", 9),
+)
 
 
-class Course:
+class Scenario:
     """Some of a fleet's assigners through all phases. `exchange(own)` gives the load of all, from
     that of these."""
 
--- a/havendyke/lab/scale/size.py
+++ b/havendyke/lab/scale/size.py
@@ -11,7 +11,7 @@
 KB_A_TASK, KB_A_PROXY, KB_A_SLICE = 6.0, 3.0, 4.0  # beside that, of each hollow assigner
 
 
-class BadSize(ValueError):
+class SizeError(ValueError):
     """A size that is no size, or one beyond the machine; one line."""
 
 
@@ -30,7 +30,7 @@
     reports: int = 40  # lines of the collectors a second at each assigner
     hollow: int = 6
 
-    def described(self) -> dict:
+    def as_dict(self) -> dict:
         return asdict(self)
 
 
@@ -103,18 +103,18 @@
 
 
 def read_size(told: dict) -> Size:
-    """The base with these axes otherwise; raises `BadSize`."""
+    """The base with these axes otherwise; raises `SizeError`."""
     for name, value in told.items():
         if name not in BOUNDS:
-            raise BadSize(f"no axis is named '{name[:40]}'; there are {', '.join(BOUNDS)}")
+            raise SizeError(f"no axis is named '{name[:40]}'; there are {', '.join(BOUNDS)}")
         least, most = BOUNDS[name]
         if not least <= value <= most:
-            raise BadSize(f"axis '{name}' is {value}; it goes from {least} to {most}")
+            raise SizeError(f"axis '{name}' is {value}; it goes from {least} to {most}")
     made = replace(Size(), **told)
     if made.hollow > made.assigners:
         made = replace(made, hollow=made.assigners)
     if made.slices * made.assigners > TABLES:
-        raise BadSize(
+        raise SizeError(
             f"{made.slices} slices at each of {made.assigners} assigners are more than {TABLES} "
             "tables"
         )
@@ -136,7 +136,7 @@
     """Refuses a size that needs more than `memory_mb`, or too many processes, before anything is
     started."""
     if workers > PROCESSES:
-        raise BadSize(f"{workers} workers are more than {PROCESSES} processes")
+        raise SizeError(f"{workers} workers are more than {PROCESSES} processes")
     needs = needed_mb(size, workers)
     if needs > memory_mb:
-        raise BadSize(f"this size needs some {needs:.0f} MB; the run may take {memory_mb:.0f} MB")
+        raise SizeError(f"this size needs some {needs:.0f} MB; the run may take {memory_mb:.0f} MB")
--- a/havendyke/lab/scale/workers.py
+++ b/havendyke/lab/scale/workers.py
@@ -6,9 +6,9 @@
 
 import psutil
 
-from .course import PHASES, Course
 from .fleet import Fleet
 from .guard import MB, Guard
+from .scenario import PHASES, Scenario
 from .size import Size
 
 PATIENCE = 0.5  # seconds between looks at the guard
@@ -17,11 +17,11 @@
 )
 
 
-class WorkerFailed(Exception):
+class WorkerError(Exception):
     """A worker process ended early; one line."""
 
 
-def shares(size: Size, workers: int) -> list:
+def distribute_assigners(size: Size, workers: int) -> list:
     """The numbers of the assigners that each worker runs, spread over all there are."""
     stride = max(1, size.assigners // size.hollow)
     return [[k * stride for k in range(worker, size.hollow, workers)] for worker in range(workers)]
@@ -36,8 +36,8 @@
 
     memory = psutil.Process()
     before = memory.memory_info().rss
-    course = Course(Fleet(size, seed), numbers, phases, exchange)
-    measured = course.run()
+    scenario = Scenario(Fleet(size, seed), numbers, phases, exchange)
+    measured = scenario.run()
     grown = (memory.memory_info().rss - before) / MB
     pipe.send(("done", measured, grown / max(1, len(numbers))))
 
@@ -48,7 +48,7 @@
     def __init__(self, size: Size, seed: int, count: int, guard: Guard, phases=PHASES):
         self.guard, self.processes, self.pipes = guard, [], []
         context = multiprocessing.get_context("spawn")
-        for numbers in shares(size, count):
+        for numbers in distribute_assigners(size, count):
             mine, its = context.Pipe()
             process = context.Process(
                 target=work, args=(its, size, seed, numbers, phases), daemon=True
@@ -80,7 +80,7 @@
         try:
             return pipe.recv()
         except EOFError:
-            raise WorkerFailed("a worker process ended before the run did") from None
+            raise WorkerError("a worker process ended before the run did") from None
 
     def end(self):
         for process in self.processes:
--- a/tests/lab/test_scale_run.py
+++ b/tests/lab/test_scale_run.py
@@ -10,9 +10,9 @@
 import pytest
 from controller_harness import replace_health_evaluation
 
-from havendyke.lab.scale.course import SHORT, Course
 from havendyke.lab.scale.fleet import Fleet
-from havendyke.lab.scale.meter import PRODUCT, Operations
+from havendyke.lab.scale.meter import PACKAGE_ROOT, InstructionCounter
+from havendyke.lab.scale.scenario import SHORT_PHASES, Scenario
 from havendyke.lab.scale.size import Size
 
 SMALL = Size(tasks=60, slices=4, proxies=12, assigners=6, zones=3, reports=12, changes=30, hollow=2)
@@ -21,8 +21,8 @@
 SQUARE = 2.3
 
 
-def course(**more):
-    made = Course(Fleet(replace(SMALL, **more), 3), range(2), SHORT)
+def scenario(**more):
+    made = Scenario(Fleet(replace(SMALL, **more), 3), range(2), SHORT_PHASES)
     made.run()
     return made
 
@@ -31,7 +31,7 @@
 def counted(**more) -> dict:
     """Bytes and messages of each phase and kind, and the interpreter's instructions of a calm
     second."""
-    run = course(**more)
+    run = scenario(**more)
     made = {
         (phase, kind, unit): sum(
             told["traffic"][kind].get(f"{way}_{unit}", 0) for way in ("in", "out")
@@ -40,8 +40,8 @@
         for kind in told["traffic"]
         for unit in ("bytes", "messages")
     }
-    with Operations() as operations:
-        run.second(SHORT[2], 0)
+    with InstructionCounter() as operations:
+        run.second(SHORT_PHASES[2], 0)
     return made | {"operations": operations.count}
 
 
@@ -51,7 +51,7 @@
 
 
 def test_the_same_seed_counts_the_same():
-    one, other = course(), course()
+    one, other = scenario(), scenario()
     assert [p["traffic"] for p in one.measured.values()] == [
         p["traffic"] for p in other.measured.values()
     ]
@@ -98,12 +98,12 @@
     "phase, kind, most", [("calm", "probes", 70), ("calm", "list", 90), ("start", "watch", 90)]
 )
 def test_a_question_of_ours_stays_short(phase, kind, most):
-    sent = course().measured[phase]["traffic"][kind]
+    sent = scenario().measured[phase]["traffic"][kind]
     assert 0 < sent["out_bytes"] <= most * sent["out_messages"]
 
 
 def test_an_order_of_ours_stays_short():
-    run = course().measured["release"]
+    run = scenario().measured["release"]
     assert (
         0
         < run["traffic"]["calls"]["out_bytes"]
@@ -122,7 +122,7 @@
         "  for other in controller.servers:\n   one.id == other.id\n evaluate(controller)"
     )
     names = {}
-    exec(compile(source, f"{PRODUCT}/square.py", "exec"), names)
+    exec(compile(source, f"{PACKAGE_ROOT}/square.py", "exec"), names)
     replace_health_evaluation(monkeypatch, names["compare_all"])
     assert (
         counted.__wrapped__(tasks=2 * MANY)["operations"]
--- a/tests/lab/test_scale_tools.py
+++ b/tests/lab/test_scale_tools.py
@@ -12,8 +12,8 @@
 from benchmarks import capacity
 from havendyke.cli.main import main
 from havendyke.lab.scale import fit, page, record
-from havendyke.lab.scale.size import AXES, BadSize, Size, check_machine, plan, read_size
-from havendyke.lab.scale.workers import shares
+from havendyke.lab.scale.size import AXES, Size, SizeError, check_machine, plan, read_size
+from havendyke.lab.scale.workers import distribute_assigners
 
 SIZES = [100.0, 200.0, 400.0, 800.0, 1600.0]
 
@@ -22,12 +22,12 @@
 def test_a_form_is_told_from_the_others_and_its_slope_lies_in_the_interval(form):
     shaped = fit.FORMS[form](numpy.array(SIZES))
     noise = 0.002 * (shaped.max() - shaped.min()) * numpy.array([1.0, -1.0, 0.5, -1.0, 0.5])
-    curve = fit.fitted("tasks", SIZES, 5 + 3 * shaped + noise)
+    curve = fit.fit_curve("tasks", SIZES, 5 + 3 * shaped + noise)
     assert curve.form == form and curve.low <= 3 <= curve.high and curve.points == 5
 
 
 def test_the_same_records_give_the_same_interval():
-    assert fit.fitted("tasks", SIZES, [3, 5, 9, 18, 33]) == fit.fitted(
+    assert fit.fit_curve("tasks", SIZES, [3, 5, 9, 18, 33]) == fit.fit_curve(
         "tasks", SIZES, [3, 5, 9, 18, 33]
     )
 
@@ -62,11 +62,11 @@
     )
     assert len({p.name for p in plan()}) == len(roles)
     for point in plan():
-        check_machine(read_size(point.size.described()), 2, 4096.0)
+        check_machine(read_size(point.size.as_dict()), 2, 4096.0)
 
 
 def test_every_assigner_is_run_by_one_worker():
-    told = shares(Size(assigners=100, hollow=7), 3)
+    told = distribute_assigners(Size(assigners=100, hollow=7), 3)
     assert sorted(k for numbers in told for k in numbers) == [14 * k for k in range(7)]
 
 
@@ -80,7 +80,7 @@
     ],
 )
 def test_a_size_that_is_none_is_refused(axes, said):
-    with pytest.raises(BadSize, match=said):
+    with pytest.raises(SizeError, match=said):
         read_size(axes)
 
 
@@ -119,7 +119,7 @@
         and "nothing was overwritten" in err
         and (tmp_path / "mine.json").read_text() == "kept"
     )
-    with pytest.raises(record.BadRecord, match="nothing was overwritten"):
+    with pytest.raises(record.RecordError, match="nothing was overwritten"):
         record.write(tmp_path, "mine", {})
 
 
@@ -170,11 +170,13 @@
 def test_the_pages_agree_with_the_records():
     blocks = page.Page(record.read_all(capacity.RECORDS)).blocks()
     for path in capacity.PAGES:
-        assert page.written(path.read_text(), blocks) == path.read_text(), (
+        assert page.replace_tables(path.read_text(), blocks) == path.read_text(), (
             f"python -m benchmarks capacity --page writes {path.name}"
         )
     marked = {
-        found["name"] for path in capacity.PAGES for found in page.MARK.finditer(path.read_text())
+        found["name"]
+        for path in capacity.PAGES
+        for found in page.TABLE_MARKER.finditer(path.read_text())
     }
     assert marked == set(blocks)
 
@@ -189,10 +191,10 @@
 
 
 def test_a_page_without_its_marks_is_refused():
-    with pytest.raises(page.BadPage):
-        page.written("# Capacity\n", {})
-    with pytest.raises(page.BadPage, match="nosuch"):
-        page.written("<!-- begin nosuch -->\n<!-- end nosuch -->", {})
+    with pytest.raises(page.PageError):
+        page.replace_tables("# Capacity\n", {})
+    with pytest.raises(page.PageError, match="nosuch"):
+        page.replace_tables("<!-- begin nosuch -->\n<!-- end nosuch -->", {})
 
 
 def test_other_benchmarks_still_take_their_name_alone():
