--- a/havendyke/lab/scale/__init__.py
+++ b/havendyke/lab/scale/__init__.py
@@ -1,7 +1,6 @@
-"""A scale run: a model of the whole fleet round many assigners, and what each of them costs.
+"""Scale runs: the cost of each assigner, measured against a model of the whole fleet.
 
-*Hollow* assigners are the product's own state machines on a simulated clock, many in a process;
-*real* ones are the
-program itself on loopback sockets against the same stand-ins. `docs/operators/capacity.md` tells
-how to run it.
+*Hollow* assigners run the production state machines on a simulated clock, many in one process.
+*Real* assigners are the program itself on loopback sockets, connected to the same stand-ins.
+`docs/operators/capacity.md` describes how to run them.
 """
--- a/havendyke/lab/scale/batch.py
+++ b/havendyke/lab/scale/batch.py
@@ -1,41 +1,48 @@
-"""All points of the plan, some at once, each into its record; those that have one already are left
-out."""
+"""Measures the points of the plan that have no record yet, several in parallel."""
 
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
 from . import record
 from .guard import Limits
-from .run import A_WORKER, measure
+from .run import ASSIGNERS_PER_WORKER, measure
 from .size import plan
 
-REALS = {
+REAL_COUNTS = {
     "base": 2,
     "tasks-1600": 1,
     "tasks-6200": 1,
     "proxies-800": 1,
     "reports-160": 1,
     "held-4": 1,
-}  # real ones beside
+}  # real assigners of a point, by its name
 
 
-def workers_for(point) -> int:
-    """One worker for each hundred assigners that run."""
-    return -(-point.size.hollow // A_WORKER)
+def worker_count(point) -> int:
+    """One worker for each `ASSIGNERS_PER_WORKER` assigners that run."""
+    return -(-point.size.hollow // ASSIGNERS_PER_WORKER)
 
 
-def measure_all(folder: Path, seed: int, at_once: int, limits: Limits, told=print, only: str = ""):
-    """Measures every point without a record; `told(line)` hears of each. Points of several workers
-    run alone."""
-    todo = [p for p in plan() if only in p.name and not (Path(folder) / f"{p.name}.json").exists()]
+def measure_all(
+    folder: Path, seed: int, concurrency: int, limits: Limits, report=print, only: str = ""
+):
+    """Measures every point without a record whose name contains `only`.
 
-    def one(point):
-        made = measure(point, seed, workers_for(point), limits, real_count=REALS.get(point.name, 0))
-        told(f"{record.write(folder, point.name, made)}")
+    `report(line)` is called with the path of each new record. Points that need several workers run
+    one at a time, after the others."""
+    missing = [
+        p for p in plan() if only in p.name and not (Path(folder) / f"{p.name}.json").exists()
+    ]
 
-    singles = [p for p in todo if workers_for(p) == 1]
-    with ThreadPoolExecutor(at_once) as pool:
-        list(pool.map(one, singles))
-    for point in todo:
-        if point not in singles:
-            one(point)
+    def measure_point(point):
+        measured = measure(
+            point, seed, worker_count(point), limits, real_count=REAL_COUNTS.get(point.name, 0)
+        )
+        report(f"{record.write(folder, point.name, measured)}")
+
+    single_worker_points = [p for p in missing if worker_count(p) == 1]
+    with ThreadPoolExecutor(concurrency) as pool:
+        list(pool.map(measure_point, single_worker_points))
+    for point in missing:
+        if point not in single_worker_points:
+            measure_point(point)
--- a/havendyke/lab/scale/fit.py
+++ b/havendyke/lab/scale/fit.py
@@ -14,7 +14,7 @@
 from ...policy.health_checks import CHECKS_PER_SERVER_PER_S
 from .meter import IN, KINDS, OUT
 from .record import RecordError
-from .scenario import RACK
+from .scenario import RACK_TASKS
 from .size import AXES, Size
 
 FORMS = {
@@ -23,13 +23,15 @@
     "square": lambda x: x * x,
     "inverse": lambda x: 1.0 / numpy.maximum(x, 0.1),
 }
-LEAST_POINTS = 4  # sizes of an axis, below which no curve is drawn
-YARDSTICK_MS = 0.51  # of the plain loop in the quickest record; processor times are scaled to it
-RESAMPLES, SEED = 400, 20261202
-INTERVAL = (2.5, 97.5)  # percentiles of the resampled slopes
-LINES_A_TABLE = 2  # an owner and a spare
-FLAT = 0.02  # of the base's value: an axis that moves a metric by less does nothing to it
-WITHIN = 0.25  # of a held-out value, that a prediction may miss it by
+MIN_POINTS = 4  # sizes of an axis, below which no curve is drawn
+REFERENCE_LOOP_MS = (
+    0.51  # of the plain loop in the quickest record; processor times are scaled to it
+)
+RESAMPLES, RESAMPLING_SEED = 400, 20261202
+INTERVAL_PERCENTILES = (2.5, 97.5)  # percentiles of the resampled slopes
+ENTRIES_PER_TABLE = 2  # an owner and a spare
+FLAT_SHARE = 0.02  # of the base's value: an axis that moves a metric by less does nothing to it
+TOLERANCE = 0.25  # of a held-out value, that a prediction may miss it by
 NEGLIGIBLE = {
     "bytes": 130.0,
     "cpu": 0.4,
@@ -40,39 +42,49 @@
 
 # What a mechanism turns on where that is no axis by itself, worked out from the rules; a curve
 # along it stands for its axes'.
-QUESTIONS = "questions a second"  # probes, by the rule that shares CHECKS_PER_SERVER_PER_S
+HEALTH_CHECK_RATE = "questions a second"  # probes, by the rule that shares CHECKS_PER_SERVER_PER_S
 # among those who ask
-HITS = "own tasks released"  # of a rack, that lines of one assigner name
-REPLACED = "own tasks replaced"  # a second, the same in a calm span
-DERIVED = {
-    QUESTIONS: ("tasks", "assigners", "slices"),
-    HITS: ("tasks", "slices"),
-    REPLACED: ("tasks", "slices", "changes"),
+RACK_TASKS_IN_TABLES = "own tasks released"  # of a rack, that lines of one assigner name
+REPLACED_TASKS_IN_TABLES = "own tasks replaced"  # a second, the same in a calm span
+DERIVED_AXES = {
+    HEALTH_CHECK_RATE: ("tasks", "assigners", "slices"),
+    RACK_TASKS_IN_TABLES: ("tasks", "slices"),
+    REPLACED_TASKS_IN_TABLES: ("tasks", "slices", "changes"),
 }
-PUSHED = ("news", "calls", "orders")
+PUSH_KINDS = ("news", "calls", "orders")
 
 
-def place(size: dict, axis: str) -> float:
+def axis_position(size: dict, axis: str) -> float:
     """Where a size lies on an axis."""
-    if axis not in DERIVED:
+    if axis not in DERIVED_AXES:
         return size[axis]
-    named = LINES_A_TABLE * size["slices"] / size["tasks"]  # lines of one assigner for each task
-    if axis == QUESTIONS:
+    named = (
+        ENTRIES_PER_TABLE * size["slices"] / size["tasks"]
+    )  # lines of one assigner for each task
+    if axis == HEALTH_CHECK_RATE:
         each = CHECKS_PER_SERVER_PER_S * size["tasks"] / size["assigners"]
-        return each + min(2 * LINES_A_TABLE * size["slices"], each)
-    return named * (min(RACK, size["tasks"] // 5) if axis == HITS else size["changes"] / 60.0)
+        return each + min(2 * ENTRIES_PER_TABLE * size["slices"], each)
+    return named * (
+        min(RACK_TASKS, size["tasks"] // 5)
+        if axis == RACK_TASKS_IN_TABLES
+        else size["changes"] / 60.0
+    )
 
 
-def axes_of(metric: str) -> dict:
+def metric_axes(metric: str) -> dict:
     """The axes of a metric, each with the records' roles that lie on it."""
     phase, _, rest = metric.partition("/")
     kind = rest.partition("/")[0]
-    derived = QUESTIONS if kind == "probes" else None
-    if kind in PUSHED:
-        derived = {"release": HITS, "calm": REPLACED, "peak": REPLACED}.get(phase)
-    stands_for = DERIVED.get(derived, ())
-    made = {axis: (axis,) for axis in AXES if axis not in stands_for}
-    return made | ({derived: stands_for} if derived else {})
+    derived = HEALTH_CHECK_RATE if kind == "probes" else None
+    if kind in PUSH_KINDS:
+        derived = {
+            "release": RACK_TASKS_IN_TABLES,
+            "calm": REPLACED_TASKS_IN_TABLES,
+            "peak": REPLACED_TASKS_IN_TABLES,
+        }.get(phase)
+    stands_for = DERIVED_AXES.get(derived, ())
+    roles_by_axis = {axis: (axis,) for axis in AXES if axis not in stands_for}
+    return roles_by_axis | ({derived: stands_for} if derived else {})
 
 
 @dataclass(frozen=True)
@@ -88,7 +100,7 @@
     high: float
     points: int
 
-    def at(self, x: float) -> float:
+    def value_at(self, x: float) -> float:
         return self.intercept + self.slope * float(FORMS[self.form](numpy.float64(x)))
 
 
@@ -118,7 +130,10 @@
         """The metric at a size: {axis: value}; axes left out are the base's."""
         origin = Size().as_dict()
         pairs = [
-            (curve.at(place(origin, axis)), curve.at(place({**origin, **size}, axis)))
+            (
+                curve.value_at(axis_position(origin, axis)),
+                curve.value_at(axis_position({**origin, **size}, axis)),
+            )
             for axis, curve in self.curves.items()
         ]
         # The base was measured once; where curves go through it, they know it better together.
@@ -130,32 +145,32 @@
         return max(0.0, level)
 
 
-def metrics(record: dict) -> dict:
+def record_metrics(record: dict) -> dict:
     """All figures of one record by metric."""
-    made = {"memory": record["memory_mb"]["assigner"]}
+    values = {"memory": record["memory_mb"]["assigner"]}
     for name, phase in record["phases"].items():
         for unit in ("bytes", "messages"):
             by_kind = {
                 kind: sum(phase["traffic"][kind][f"{way}_{unit}"] for way in (IN, OUT))
                 for kind in KINDS
             }
-            made |= {f"{name}/{kind}/{unit}": value for kind, value in by_kind.items()}
-            made[f"{name}/{unit}"] = sum(by_kind.values())
+            values |= {f"{name}/{kind}/{unit}": value for kind, value in by_kind.items()}
+            values[f"{name}/{unit}"] = sum(by_kind.values())
         # As if the machine had been as quick as at its quickest: the loop beside the run says how
         # slow it was.
-        slowed = phase["yardstick_ms"] / YARDSTICK_MS
-        made |= {
+        slowed = phase["yardstick_ms"] / REFERENCE_LOOP_MS
+        values |= {
             f"{name}/cpu/{activity}": spent / slowed for activity, spent in phase["cpu_ms"].items()
         }
-        made[f"{name}/cpu"] = sum(phase["cpu_ms"].values()) / slowed
-        made |= {
+        values[f"{name}/cpu"] = sum(phase["cpu_ms"].values()) / slowed
+        values |= {
             f"{name}/{key}": phase[key] for key in ("orders", "log_bytes", "log_lines", "turns")
         }
-        made[f"{name}/calls/sent"] = phase["traffic"]["calls"]["out_messages"]
-    return made
+        values[f"{name}/calls/sent"] = phase["traffic"]["calls"]["out_messages"]
+    return values
 
 
-def solved(x, y) -> tuple:
+def least_squares(x, y) -> tuple:
     """Least squares: slope, intercept, root of the mean square residual."""
     spread = x - x.mean()
     slope = float((spread * (y - y.mean())).sum() / (spread * spread).sum())
@@ -166,62 +181,64 @@
 def fit_curve(axis: str, xs, ys) -> Curve:
     """The best of the forms, its slope's interval by resampling the residuals."""
     x, y = numpy.array(xs, float), numpy.array(ys, float)
-    forms = FORMS if axis not in DERIVED else {"linear"}
-    form = min(forms, key=lambda f: left_out(FORMS[f](x), y))
-    shaped = FORMS[form](x)
-    slope, intercept, residual = solved(shaped, y)
-    straight, spread = intercept + slope * shaped, shaped - shaped.mean()
-    errors = (y - straight) * numpy.sqrt(len(x) / max(1, len(x) - 2))
-    drawn = straight + numpy.random.default_rng(SEED).choice(errors, (RESAMPLES, len(x)))
+    forms = FORMS if axis not in DERIVED_AXES else {"linear"}
+    form = min(forms, key=lambda f: cross_validation_error(FORMS[f](x), y))
+    transformed = FORMS[form](x)
+    slope, intercept, residual = least_squares(transformed, y)
+    predicted, spread = intercept + slope * transformed, transformed - transformed.mean()
+    errors = (y - predicted) * numpy.sqrt(len(x) / max(1, len(x) - 2))
+    drawn = predicted + numpy.random.default_rng(RESAMPLING_SEED).choice(
+        errors, (RESAMPLES, len(x))
+    )
     slopes = (spread * drawn).sum(axis=1) / (spread * spread).sum()
-    low, high = numpy.percentile(slopes, INTERVAL)
+    low, high = numpy.percentile(slopes, INTERVAL_PERCENTILES)
     return Curve(axis, form, slope, intercept, residual, float(low), float(high), len(x))
 
 
-def left_out(x, y) -> float:
+def cross_validation_error(x, y) -> float:
     """The mean square error at points that the fit did not see, one after the other."""
     total = 0.0
     for k in range(len(x)):
         kept = numpy.arange(len(x)) != k
-        slope, intercept, _ = solved(x[kept], y[kept])
+        slope, intercept, _ = least_squares(x[kept], y[kept])
         total += (y[k] - intercept - slope * x[k]) ** 2
     return total / len(x)
 
 
-def flat(curve: Curve, xs, base: float) -> bool:
+def is_flat(curve: Curve, xs, base: float) -> bool:
     """Whether the axis does nothing to the metric, as far as can be told."""
-    moved = abs(curve.at(max(xs)) - curve.at(min(xs)))
-    return moved <= FLAT * abs(base) or curve.low <= 0.0 <= curve.high
+    moved = abs(curve.value_at(max(xs)) - curve.value_at(min(xs)))
+    return moved <= FLAT_SHARE * abs(base) or curve.low <= 0.0 <= curve.high
 
 
-def curves_of(metric: str, told: list) -> dict:
+def fit_curves(metric: str, told: list) -> dict:
     """The curve of each axis that moves the metric; `told` has (record, its metrics)."""
-    base, made = next(values[metric] for record, values in told if record["role"] == "base"), {}
-    for axis, on_it in axes_of(metric).items():
+    base, curves = next(values[metric] for record, values in told if record["role"] == "base"), {}
+    for axis, on_it in metric_axes(metric).items():
         points = [
-            (place(record["size"], axis), values.get(metric, 0.0))
+            (axis_position(record["size"], axis), values.get(metric, 0.0))
             for record, values in told
             if record["role"] in ("base", *on_it)
         ]
-        if len(points) < LEAST_POINTS:
+        if len(points) < MIN_POINTS:
             continue
         xs, ys = zip(*sorted(points))
         curve = fit_curve(axis, xs, ys)
-        if not flat(curve, xs, base):
-            made[axis] = curve
-    return made
+        if not is_flat(curve, xs, base):
+            curves[axis] = curve
+    return curves
 
 
-def models(records: list) -> dict:
+def fit_models(records: list) -> dict:
     """A model for each metric that the base's record has; a total's is the sum of its parts'."""
-    told = [(record, metrics(record)) for record in records]
+    told = [(record, record_metrics(record)) for record in records]
     base = next((values for record, values in told if record["role"] == "base"), None)
     if base is None:
         raise RecordError("no record of the base among these")
-    made = {}
+    models_by_metric = {}
     for metric, value in base.items():
-        curves = curves_of(metric, told)
-        made[metric] = best(
+        curves = fit_curves(metric, told)
+        models_by_metric[metric] = best_model(
             [Model(metric, value, curves, how) for how in ("sum", "product")],
             [(r["size"], v.get(metric, 0.0)) for r, v in told if r["role"] == "pair"],
         )
@@ -233,18 +250,20 @@
             parts = [other for other in base if other.startswith(f"{phase}/cpu/")]
         else:
             continue
-        made[metric] = Total(metric, tuple(made[part] for part in parts), made[metric].curves)
-    return made
+        models_by_metric[metric] = Total(
+            metric, tuple(models_by_metric[part] for part in parts), models_by_metric[metric].curves
+        )
+    return models_by_metric
 
 
-def best(candidates: list, pairs: list) -> Model:
+def best_model(candidates: list, pairs: list) -> Model:
     return min(
         candidates,
         key=lambda m: sum(abs(m.predict(size) - value) / max(value, 1e-9) for size, value in pairs),
     )
 
 
-def negligible(metric: str) -> float:
+def negligible_error(metric: str) -> float:
     unit = next((u for u in NEGLIGIBLE if u in metric.split("/")), "messages")
     return NEGLIGIBLE[unit]
 
@@ -265,17 +284,17 @@
     @property
     def passed(self) -> bool:
         return abs(self.predicted - self.measured) <= max(
-            WITHIN * abs(self.measured), negligible(self.metric)
+            TOLERANCE * abs(self.measured), negligible_error(self.metric)
         )
 
 
-def checks(records: list, fitted_models: dict, wanted) -> list:
+def check_predictions(records: list, fitted_models: dict, wanted) -> list:
     """Each wanted metric at each held-out point."""
     return [
         Check(
             r["point"],
             metric,
-            metrics(r).get(metric, 0.0),
+            record_metrics(r).get(metric, 0.0),
             fitted_models[metric].predict(r["size"]),
         )
         for r in records
--- a/havendyke/lab/scale/fleet.py
+++ b/havendyke/lab/scale/fleet.py
@@ -1,25 +1,24 @@
-"""The model of the fleet that all assigners of a process share: tasks, what they are sent, how slow
-that makes them."""
+"""The fleet model that all assigners of a process share: tasks, their load and their latency."""
 
 import random
 from collections import Counter
 
 from .size import ZONE_NAMES, Size
 
-REQUESTS_A_SLICE = 17.0  # a second at the peak: 150,000 over 8,800 routes
-CALM_PART = 1 / 3  # of the peak, on an ordinary hour
-USUAL_LOAD = 0.5  # of a warm task's capacity, at the peak with all in service
-WORK_MS = 60.0  # a request's time at an idle task
-FULLEST = 0.95  # beyond this share of its capacity a task's answers get no slower
-COLD_MS, COLD_FROM = 16_000.0, 0.2
-DRAIN_MS = 3_000.0  # from a task's drain to its end
-ABSENT_MS = 3_000.0  # from its end to its successor's start, under the same name
-PUSH_MS = 300.0  # mean time of a message to a proxy
-LINES_A_PROXY = 200.0  # that the channel carries a second
+PEAK_REQUESTS_PER_SLICE = 17.0  # per second: 150,000 over 8,800 routes
+CALM_DEMAND = 1 / 3  # of the peak, in an ordinary hour
+PEAK_UTILIZATION = 0.5  # of a warm task at the peak, when all tasks are in service
+SERVICE_TIME_MS = 60.0  # of a request at an idle task
+MAX_UTILIZATION = 0.95  # the latency model does not grow beyond it
+WARM_UP_MS, INITIAL_CAPACITY_SHARE = 16_000.0, 0.2
+DRAIN_MS = 3_000.0  # from the start of draining to the end of the task
+RESTART_DELAY_MS = 3_000.0  # from the end of a task to its restart under the same name
+MEAN_PUSH_DELAY_MS = 300.0  # until a message reaches a proxy
+CHANNEL_RATE_PER_PROXY = 200.0  # table entries per second
 
 
-def settings(size: Size, number: int) -> dict:
-    """The platform's settings for one assigner."""
+def assigner_settings(size: Size, number: int) -> dict:
+    """The platform's settings of one assigner."""
     classes = [
         {
             "name": f"class{k}",
@@ -33,9 +32,9 @@
         "keyRanges": size.slices * size.assigners,
         "dataPlaneSize": size.proxies,
         "overhead": 8.0,
-        "channelRate": LINES_A_PROXY * size.proxies,
-        "pendingMax": 2 * LINES_A_PROXY * size.proxies,
-        "pushDelay": PUSH_MS * 1e6,
+        "channelRate": CHANNEL_RATE_PER_PROXY * size.proxies,
+        "pendingMax": 2 * CHANNEL_RATE_PER_PROXY * size.proxies,
+        "pushDelay": MEAN_PUSH_DELAY_MS * 1e6,
         "interval": 1e9,
         "throttleBy": "share",
     }
@@ -49,21 +48,25 @@
         "weightKind": "nominal",
         "registryMode": "push",
         "limits": {"probes": True},
-        "obligations": {"cold": COLD_MS * 1e6, "coldFrom": COLD_FROM, "overloadFactor": 3.0},
+        "obligations": {
+            "cold": WARM_UP_MS * 1e6,
+            "coldFrom": INITIAL_CAPACITY_SHARE,
+            "overloadFactor": 3.0,
+        },
         "telemetry": {"source": "answers"},
     }
 
 
 class Fleet:
-    """Tasks by their names, as discovery lists them. Times are the model's own, ms from its
-    start."""
+    """Tasks by name, as discovery lists them. Times are in ms since the start of the model."""
 
     def __init__(self, size: Size, seed: int, endpoint=None):
-        """`endpoint(number)`: where a task answers probes."""
-        self.size, self.seed, self.now, self.demand = size, seed, 0.0, CALM_PART
-        self.chance = random.Random(seed)  # of what all see alike: every worker draws the same
+        """`endpoint(number)` is the address at which a task answers health checks."""
+        self.size, self.seed, self.now_ms, self.demand = size, seed, 0.0, CALM_DEMAND
+        # Draws what all workers must agree on; every worker draws the same values.
+        self.rng = random.Random(seed)
         endpoint = endpoint or (lambda k: f"10.{k >> 16}.{k >> 8 & 255}.{k & 255}:8080")
-        self.names = [f"task-{k:05x}" for k in range(size.tasks)]
+        self.task_names = [f"task-{k:05x}" for k in range(size.tasks)]
         self.entries = {
             name: {
                 "uid": name,
@@ -75,84 +78,96 @@
                 "capacity_hint": 1.0,
                 "boot_ms": 0,
             }
-            for k, name in enumerate(self.names)
+            for k, name in enumerate(self.task_names)
         }
-        self.started, self.offered, self.due = {}, Counter(), []
-        # What all slices together bring, in even parts, fills warm tasks to their usual load.
-        self.capacity = REQUESTS_A_SLICE * size.slices * size.assigners / size.tasks / USUAL_LOAD
-
-    def store(self, number: int) -> dict:
-        """The tables that an assigner finds in the store at its start: a line a slice, even over
+        self.started_ms, self.offered_load, self.scheduled_changes = {}, Counter(), []
+        # The peak load of all slices, spread evenly, gives warm tasks their peak utilization.
+        self.task_capacity = (
+            PEAK_REQUESTS_PER_SLICE * size.slices * size.assigners / size.tasks / PEAK_UTILIZATION
+        )
+
+    def initial_tables(self, number: int) -> dict:
+        """The tables in the store when an assigner starts: one entry per slice, spread evenly over
         all tasks."""
         first = number * self.size.slices
         return {
-            piece: {self.names[piece * 7919 % len(self.names)]: 1.0}
-            for piece in range(first, first + self.size.slices)
+            slice_id: {self.task_names[slice_id * 7919 % len(self.task_names)]: 1.0}
+            for slice_id in range(first, first + self.size.slices)
         }
 
-    def own_chance(self, number: int) -> random.Random:
-        """Of what one assigner alone meets."""
+    def assigner_rng(self, number: int) -> random.Random:
+        """The random generator for events that concern one assigner only."""
         return random.Random(f"{self.seed}/{number}")
 
-    def requests(self) -> float:
-        """Requests a second on each slice."""
-        return REQUESTS_A_SLICE * self.demand
-
-    def present(self, name: str) -> float:
-        """The requests a second that a task can do now."""
-        age = self.now - self.started.get(name, -1e12)
-        return self.capacity * min(1.0, COLD_FROM + (1 - COLD_FROM) * age / COLD_MS)
-
-    def fullness(self, name: str) -> float:
-        return self.offered[name] / self.present(name)
-
-    def latency(self, name: str) -> float:
-        """The mean time of a request there, ms."""
-        return WORK_MS / (1.0 - min(FULLEST, self.fullness(name)))
-
-    def load(self, own: Counter):
-        """What the assigners that run send to each task; those that do not run send theirs in even
-        parts."""
-        others = self.requests() * self.size.slices * (self.size.assigners - self.size.hollow)
+    def requests_per_slice(self) -> float:
+        """Requests per second to each slice."""
+        return PEAK_REQUESTS_PER_SLICE * self.demand
+
+    def current_capacity(self, name: str) -> float:
+        """The requests per second that a task can serve now."""
+        age_ms = self.now_ms - self.started_ms.get(name, -1e12)
+        return self.task_capacity * min(
+            1.0, INITIAL_CAPACITY_SHARE + (1 - INITIAL_CAPACITY_SHARE) * age_ms / WARM_UP_MS
+        )
+
+    def utilization(self, name: str) -> float:
+        return self.offered_load[name] / self.current_capacity(name)
+
+    def mean_latency_ms(self, name: str) -> float:
+        """The mean time of a request at the task."""
+        return SERVICE_TIME_MS / (1.0 - min(MAX_UTILIZATION, self.utilization(name)))
+
+    def set_offered_load(self, own: Counter):
+        """Sets the load of each task to that of the assigners that run, `own`, and an even share of
+        the load of those that do not run."""
+        others = (
+            self.requests_per_slice() * self.size.slices * (self.size.assigners - self.size.hollow)
+        )
         ready = [
             n
-            for n in self.names
+            for n in self.task_names
             if self.entries[n]["state"] == "in_service"
-            and self.now - self.started.get(n, -1e12) >= COLD_MS
+            and self.now_ms - self.started_ms.get(n, -1e12) >= WARM_UP_MS
         ]
-        self.offered = Counter(own)
+        self.offered_load = Counter(own)
         for name in ready:
-            self.offered[name] += others / len(ready)
+            self.offered_load[name] += others / len(ready)
 
     # Changes
 
-    def at(self, wait: float, names: list, state: str):
-        self.due.append((self.now + wait, names, state))
+    def schedule_change(self, delay_ms: float, names: list, state: str):
+        self.scheduled_changes.append((self.now_ms + delay_ms, names, state))
 
-    def replace(self, names: list):
-        """Drains tasks, ends them and starts their successors under the same names."""
-        self.at(0.0, names, "terminating")
-        self.at(DRAIN_MS, names, "terminated")
-        self.at(DRAIN_MS + ABSENT_MS, names, "in_service")
+    def replace_tasks(self, names: list):
+        """Drains and ends tasks, then restarts them under the same names."""
+        self.schedule_change(0.0, names, "terminating")
+        self.schedule_change(DRAIN_MS, names, "terminated")
+        self.schedule_change(DRAIN_MS + RESTART_DELAY_MS, names, "in_service")
 
-    def lose(self, zones: str) -> list:
-        """All tasks of these zones end at once."""
-        names = [n for n in self.names if self.entries[n]["az"] in zones]
-        self.at(0.0, names, "terminated")
+    def lose_zones(self, zones: str) -> list:
+        """Ends all tasks of these zones at once; returns their names."""
+        names = [n for n in self.task_names if self.entries[n]["az"] in zones]
+        self.schedule_change(0.0, names, "terminated")
         return names
 
-    def ripe(self) -> list:
-        """The changes that are due, as (names, state), taken out."""
-        made = [(names, state) for at, names, state in self.due if at <= self.now]
-        self.due = [change for change in self.due if change[0] > self.now]
-        for names, state in made:
+    def take_due_changes(self) -> list:
+        """Removes the changes that are due and returns them as (names, state)."""
+        due = [
+            (names, state)
+            for due_ms, names, state in self.scheduled_changes
+            if due_ms <= self.now_ms
+        ]
+        self.scheduled_changes = [
+            change for change in self.scheduled_changes if change[0] > self.now_ms
+        ]
+        for names, state in due:
             for name in names if state == "in_service" else ():
-                self.started[name] = self.now
-        return made
+                self.started_ms[name] = self.now_ms
+        return due
 
 
-def change_some(fleet: Fleet, second: int):
-    """The tasks that are replaced in this second, so that a minute has as many as the size says."""
-    each = fleet.size.changes / 60.0
-    for _ in range(int(each * (second + 1)) - int(each * second)):
-        fleet.replace([fleet.chance.choice(fleet.names)])
+def replace_some_tasks(fleet: Fleet, second: int):
+    """Replaces the tasks of this second, so that a minute has as many changes as the size says."""
+    per_second = fleet.size.changes / 60.0
+    for _ in range(int(per_second * (second + 1)) - int(per_second * second)):
+        fleet.replace_tasks([fleet.rng.choice(fleet.task_names)])
--- a/havendyke/lab/scale/guard.py
+++ b/havendyke/lab/scale/guard.py
@@ -1,4 +1,4 @@
-"""The limits of a run, checked while it runs: time, processes and memory."""
+"""Limits of a run's time, processes and memory, which are checked while it runs."""
 
 import os
 import time
@@ -6,12 +6,12 @@
 
 import psutil
 
-MEMORY_PART = 0.5  # of the machine, that a run may take at most
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory
 MB = 1 << 20
 
 
 class LimitExceededError(Exception):
-    """A limit was passed, and the run has ended; one line."""
+    """A limit was exceeded and the run has ended; the message is one line."""
 
 
 @dataclass(frozen=True)
@@ -22,38 +22,38 @@
 
 
 def machine_limits(seconds: float, memory_mb: float) -> Limits:
-    """No more memory than half of the machine's, whatever was asked for."""
-    return Limits(seconds, min(memory_mb, MEMORY_PART * psutil.virtual_memory().total / MB))
+    """The requested limits, with memory capped at half of the machine's."""
+    return Limits(seconds, min(memory_mb, MAX_MEMORY_SHARE * psutil.virtual_memory().total / MB))
 
 
 class Guard:
-    """Looks at this process and the ones it started."""
+    """Checks this process and its descendants against the limits."""
 
     def __init__(self, limits: Limits):
-        self.limits, self.began, self.most_mb = limits, time.monotonic(), 0.0
-        self.me = psutil.Process(os.getpid())
+        self.limits, self.started_s, self.peak_memory_mb = limits, time.monotonic(), 0.0
+        self.process = psutil.Process(os.getpid())
 
     def check(self):
-        """Raises `LimitExceededError` once a limit is passed."""
-        family = [self.me, *self.me.children(recursive=True)]
-        used = 0.0
-        for process in family:
+        """Raises `LimitExceededError` if a limit is exceeded."""
+        processes = [self.process, *self.process.children(recursive=True)]
+        used_mb = 0.0
+        for process in processes:
             try:
-                used += process.memory_info().rss / MB
+                used_mb += process.memory_info().rss / MB
             except psutil.Error:
-                continue  # it has ended meanwhile
-        self.most_mb = max(self.most_mb, used)
-        if used > self.limits.memory_mb:
+                continue  # the process ended in the meantime
+        self.peak_memory_mb = max(self.peak_memory_mb, used_mb)
+        if used_mb > self.limits.memory_mb:
             raise LimitExceededError(
-                f"the run took {used:.0f} MB of the {self.limits.memory_mb:.0f} that it may, and "
-                "has ended"
+                f"the run took {used_mb:.0f} MB of the {self.limits.memory_mb:.0f} that it may, "
+                "and has ended"
             )
-        if len(family) > self.limits.processes:
+        if len(processes) > self.limits.processes:
             raise LimitExceededError(
-                f"the run had {len(family)} processes of the {self.limits.processes} that it may, "
-                "and has ended"
+                f"the run had {len(processes)} processes of the {self.limits.processes} that it "
+                "may, and has ended"
             )
-        if time.monotonic() - self.began > self.limits.seconds:
+        if time.monotonic() - self.started_s > self.limits.seconds:
             raise LimitExceededError(
                 f"the run took longer than {self.limits.seconds:.0f} s, and has ended"
             )
--- a/havendyke/lab/scale/hollow.py
+++ b/havendyke/lab/scale/hollow.py
@@ -1,5 +1,4 @@
-"""One hollow assigner: the product's state machines and decisions on a simulated clock, counted at
-its connections."""
+"""A hollow assigner: production state machines with a simulated clock and metered connections."""
 
 from collections import Counter
 
@@ -10,27 +9,27 @@
 from ...net.resp import encode
 from ..event_loop import SimulatedEventLoop, feed
 from ..peers import Simulation
-from .fleet import Fleet, settings
-from .meter import IN, OUT, Meter, kind_of, messages_in
+from .fleet import Fleet, assigner_settings
+from .meter import IN, OUT, Meter, count_messages, traffic_kind
 from .size import ZONE_NAMES
-from .standins import ScaleRegistry, ScaleRelay
+from .standins import ScaleDiscovery, ScaleRelay
 
-FIRST_MS = 1000.0  # the laboratory's clock at a start
-UNIX_MS = 5000.0  # what it lacks to Unix time
-WINDOW_MS = 1000.0  # between a collector's reports
-REJOIN_MS = (500.0, 2500.0)  # till a proxy that lost its stream has joined anew
-PARTS = {
+LOOP_START_MS = 1000.0  # the simulated event loop's time at the start
+UNIX_OFFSET_MS = 5000.0  # from the event loop's time to Unix time
+REPORT_WINDOW_MS = 1000.0  # between the reports of a collector
+RECONNECT_DELAY_MS = (500.0, 2500.0)  # of a proxy that lost its stream
+ACTIVITIES = {  # methods of the controller that run during a reconciliation
     "assess_health": "judge",
     "adjust_admission": "shed",
     "plan_tables": "plan",
     "emit_push": "emit",
     "request_observations": "ask",
-}  # of a turn
+}
 
 
-class MeteredHub(SimulatedEventLoop):
-    """A laboratory's hub that charges what runs on it, and counts bytes where a socket would have
-    them."""
+class MeteredEventLoop(SimulatedEventLoop):
+    """A simulated event loop that charges processor time to activities and counts the bytes that a
+    socket would carry."""
 
     def __init__(self, meter: Meter):
         super().__init__()
@@ -47,123 +46,126 @@
         super().call_soon(self.meter.timed("timers", call))
 
     def new_connection(self, peer, wait=None):
-        return self.metered(super().new_connection(peer, wait))
+        return self.meter_connection(super().new_connection(peer, wait))
 
     def accept(self, peer):
-        return self.metered(super().accept(peer))
+        return self.meter_connection(super().accept(peer))
 
-    def metered(self, connection):
+    def meter_connection(self, connection):
         if connection is None:
             return None
-        write, updated = connection.write, connection.buffer_updated
+        write, buffer_updated = connection.write, connection.buffer_updated
 
-        def written(data):
-            self.meter.count(kind_of(connection.peer), OUT, data, 1)
+        def write_metered(data):
+            self.meter.count(traffic_kind(connection.peer), OUT, data, 1)
             write(data)
 
-        connection.write = written
-        connection.buffer_updated = self.meter.timed("parse", updated)
+        connection.write = write_metered
+        connection.buffer_updated = self.meter.timed("parse", buffer_updated)
         connection.connection_made = self.meter.timed("parse", connection.connection_made)
         connection.close = self.meter.timed("parse", connection.close)
         return connection
 
 
 class HollowAssigner(Simulation):
-    """An assigner with everybody round it; `fleet` is shared with the other assigners of the
-    process."""
+    """An assigner with its peers; `fleet` is shared with the other assigners of the process."""
 
-    relay_type, discovery_type = ScaleRelay, ScaleRegistry
+    relay_type, discovery_type = ScaleRelay, ScaleDiscovery
 
     def __init__(self, fleet: Fleet, number: int):
-        self.fleet, self.number, self.meter, self.next_line = fleet, number, Meter(), 0
-        self.absent, self.asked, self.collectors = set(), Counter(), {}
-        self.chance = fleet.own_chance(number)
+        self.fleet, self.number, self.meter, self.next_report = fleet, number, Meter(), 0
+        self.stopped_tasks, self.health_check_counts, self.collectors = set(), Counter(), {}
+        self.rng = fleet.assigner_rng(number)
         raw = {
             "name": f"assigner-{number}",
             "listen": "127.0.0.1:8443",
             "discovery": "127.0.0.1:8500",
             "seed": f"{1 + 7919 * number:x}",
             "distributor": {"address": "127.0.0.1:6400"},
-            "settings": settings(fleet.size, number),
+            "settings": assigner_settings(fleet.size, number),
         }
         super().__init__(
-            lambda hub: Assigner(config.read_config(raw, {}), hub),
-            fleet.store(number),
+            lambda event_loop: Assigner(config.read_config(raw, {}), event_loop),
+            fleet.initial_tables(number),
             fleet.entries,
             range(fleet.size.proxies),
-            event_loop=MeteredHub(self.meter),
+            event_loop=MeteredEventLoop(self.meter),
         )
-        self.measure_turns()
+        self.meter_activities()
         self.assigner.start()
         for zone in ZONE_NAMES[: fleet.size.zones]:
             self.connect_collector(zone)
 
-    def now(self) -> float:
-        """The model's time."""
-        return self.event_loop.time - FIRST_MS
+    def now_ms(self) -> float:
+        """The time of the fleet model."""
+        return self.event_loop.time - LOOP_START_MS
 
     def unix_ms(self) -> float:
-        """Unix time, by the laboratory's clock."""
-        return self.event_loop.time + UNIX_MS
+        """Unix time, by the simulated clock."""
+        return self.event_loop.time + UNIX_OFFSET_MS
 
-    def measure_turns(self):
+    def meter_activities(self):
         controller, registry = self.assigner.registry.controller, self.assigner.registry
-        for method, activity in PARTS.items():
+        for method, activity in ACTIVITIES.items():
             setattr(controller, method, self.meter.timed(activity, getattr(controller, method)))
         registry.reconcile = self.meter.timed("turn", registry.reconcile)
         self.assigner.carry_out = self.meter.timed("send", self.assigner.carry_out)
 
     def connect_peer(self, connection):
         if connection.peer.name == "health_checks":
-            self.asked[connection.peer.server.id] += 1
-            if connection.peer.server.id in self.absent:
-                return  # a machine that has vanished says nothing
+            self.health_check_counts[connection.peer.server.id] += 1
+            if connection.peer.server.id in self.stopped_tasks:
+                return  # a stopped task does not answer
         super().connect_peer(connection)
 
     def connect_collector(self, zone):
         connection = self.collectors[zone] = super().connect_collector(None)
-        self.bring(zone, [self.source(zone)])
+        self.deliver(zone, [self.source_message(zone)])
         return connection
 
     @staticmethod
-    def source(zone: str) -> bytes:
-        """A collector's first message."""
+    def source_message(zone: str) -> bytes:
+        """The first message of a collector."""
         return encode("SOURCE", "az", zone)
 
-    def bring(self, zone: str, messages: list):
+    def deliver(self, zone: str, messages: list):
         connection = self.collectors[zone]
         if not connection.ended:
             data = b"".join(messages)
             self.meter.count("reports", IN, data, len(messages))
             feed(connection, data)
 
-    # What reaches it
+    # Input to the assigner
 
-    def report(self):
-        """A window of all collectors: one part of the lines that it would have, where fewer are to
-        be sent."""
-        size, lines, sent = self.fleet.size, self.report_lines(), {}
+    def send_reports(self):
+        """Sends the next `size.reports` messages of all collectors, spread over a window.
+
+        If the collectors would send more messages than that, each window has a part of them."""
+        size, messages, sent = self.fleet.size, self.report_messages(), {}
         for _ in range(size.reports):
-            self.next_line = (self.next_line + 1) % len(lines)
-            zone, line = lines[self.next_line]
-            sent.setdefault(zone, []).append(line)
-        for place, zone in enumerate(ZONE_NAMES[: size.zones]):
+            self.next_report = (self.next_report + 1) % len(messages)
+            zone, message = messages[self.next_report]
+            sent.setdefault(zone, []).append(message)
+        for position, zone in enumerate(ZONE_NAMES[: size.zones]):
             if zone in sent:
-                self.after(WINDOW_MS * place / size.zones, lambda z=zone: self.bring(z, sent[z]))
+                self.after(
+                    REPORT_WINDOW_MS * position / size.zones,
+                    lambda z=zone: self.deliver(z, sent[z]),
+                )
 
-    def report_lines(self) -> list:
-        fleet, made = self.fleet, []
-        zones, window = ZONE_NAMES[: fleet.size.zones], str(WINDOW_MS)
-        for piece in sorted(self.relay.assigned_slices):
+    def report_messages(self) -> list:
+        fleet, messages = self.fleet, []
+        zones, window = ZONE_NAMES[: fleet.size.zones], str(REPORT_WINDOW_MS)
+        for slice_id in sorted(self.relay.assigned_slices):
             for kind in range(fleet.size.classes):
-                count = str(round(fleet.requests() / fleet.size.classes))
-                made.append(
+                count = str(round(fleet.requests_per_slice() / fleet.size.classes))
+                messages.append(
                     (
-                        zones[piece % len(zones)],
+                        zones[slice_id % len(zones)],
                         encode(
                             "SHARD",
                             "partition",
-                            str(piece),
+                            str(slice_id),
                             "kind",
                             f"class{kind}",
                             "n",
@@ -175,12 +177,12 @@
                         ),
                     )
                 )
-            for host in sorted(self.relay.store[piece]):
-                if host in self.relay.shut_out or fleet.entries[host]["state"] != "in_service":
+            for host in sorted(self.relay.store[slice_id]):
+                if host in self.relay.ejected_hosts or fleet.entries[host]["state"] != "in_service":
                     continue
                 for zone in zones:
-                    count = str(max(1, round(fleet.offered[host] / len(zones))))
-                    made.append(
+                    count = str(max(1, round(fleet.offered_load[host] / len(zones))))
+                    messages.append(
                         (
                             zone,
                             encode(
@@ -194,49 +196,53 @@
                                 "bad",
                                 "0",
                                 "avg",
-                                f"{fleet.latency(host):.1f}",
+                                f"{fleet.mean_latency_ms(host):.1f}",
                                 "window",
                                 window,
                                 "report",
-                                f"inflight:{round(8 * fleet.fullness(host))},"
-                                f"util:{fleet.fullness(host):.2f}",
+                                f"inflight:{round(8 * fleet.utilization(host))},"
+                                f"util:{fleet.utilization(host):.2f}",
                             ),
                         )
                     )
-        return made
-
-    def offers(self) -> Counter:
-        """Requests a second that it has the proxies send to each task."""
-        made = Counter()
-        for piece in self.relay.assigned_slices:
-            lines = {
-                h: w for h, w in self.relay.store[piece].items() if h not in self.relay.shut_out
+        return messages
+
+    def requests_by_task(self) -> Counter:
+        """Requests per second that the proxies send to each task by this assigner's tables."""
+        load = Counter()
+        for slice_id in self.relay.assigned_slices:
+            weights = {
+                host: weight
+                for host, weight in self.relay.store[slice_id].items()
+                if host not in self.relay.ejected_hosts
             }
-            total = sum(lines.values())
-            for host, weight in lines.items():
-                made[host] += self.fleet.requests() * weight / total
-        return made
-
-    def change(self, names: list, state: str):
-        """Discovery's agent is told of a change of tasks, and tells the assigner."""
-        more = {"state": state}
+            total = sum(weights.values())
+            for host, weight in weights.items():
+                load[host] += self.fleet.requests_per_slice() * weight / total
+        return load
+
+    def apply_change(self, names: list, state: str):
+        """Changes the state of tasks in discovery, which notifies the assigner."""
+        fields = {"state": state}
         if state == "in_service":
-            more["boot_ms"] = int(self.unix_ms())
-            self.absent.difference_update(names)
+            fields["boot_ms"] = int(self.unix_ms())
+            self.stopped_tasks.difference_update(names)
         elif state == "terminated":
-            self.absent.update(names)
+            self.stopped_tasks.update(names)
         if state != "in_service":
-            self.relay.changed(names)
-        self.discovery.change(**{name: more for name in names})
+            self.relay.track_removal(names)
+        self.discovery.change(**{name: fields for name in names})
 
-    def restart_proxies(self, zones: str):
-        """The proxies of these zones lose their streams and join anew."""
+    def reconnect_proxies(self, zones: str):
+        """Disconnects the proxies of these zones; each connects again after a random delay."""
         for proxy in [
-            p for p in sorted(self.relay.connected_proxies) if self.relay.zone(p) in zones
+            p for p in sorted(self.relay.connected_proxies) if self.relay.proxy_zone(p) in zones
         ]:
             self.relay.disconnect_proxy(proxy)
-            self.after(self.chance.uniform(*REJOIN_MS), lambda p=proxy: self.relay.connect_proxy(p))
+            self.after(
+                self.rng.uniform(*RECONNECT_DELAY_MS), lambda p=proxy: self.relay.connect_proxy(p)
+            )
 
     def on_peer_data(self, connection, data: bytes):
-        kind = kind_of(connection.peer)
-        self.meter.count(kind, IN, data, messages_in(kind, data))
+        kind = traffic_kind(connection.peer)
+        self.meter.count(kind, IN, data, count_messages(kind, data))
--- a/havendyke/lab/scale/meter.py
+++ b/havendyke/lab/scale/meter.py
@@ -1,5 +1,4 @@
-"""Counts what crosses an assigner's connections, and the processor time that each activity
-takes."""
+"""Counts the traffic of an assigner's connections and the processor time of each activity."""
 
 import sys
 from collections import Counter
@@ -8,13 +7,13 @@
 
 IN, OUT = "in", "out"
 KINDS = ("list", "watch", "reports", "probes", "news", "calls")
-LINES = {"news", "calls"}
+LINE_KINDS = {"news", "calls"}
 PACKAGE_ROOT = str(Path(__file__).parents[2])
 LAB_ROOT = str(Path(__file__).parents[1])
 
 
-def kind_of(peer) -> str:
-    """The kind of traffic that a connection of this peer carries."""
+def traffic_kind(peer) -> str:
+    """The kind of traffic on connections of this peer."""
     if peer.name == "discovery":
         return "watch" if peer.follow else "list"
     return {
@@ -25,9 +24,9 @@
     }.get(peer.name, peer.name)
 
 
-def messages_in(kind: str, data: bytes) -> int:
-    """How many messages these whole bytes are."""
-    if kind in LINES:
+def count_messages(kind: str, data: bytes) -> int:
+    """The number of messages in the data, which has no partial message."""
+    if kind in LINE_KINDS:
         return data.count(b"\n")
     if kind == "reports":
         return data.count(b"*")
@@ -35,23 +34,24 @@
 
 
 class Meter:
-    """Sums of one assigner. Activities nest: each has the time that none within it took."""
+    """Sums of one assigner. Activities nest; the time of an inner one is not added to the outer."""
 
     def __init__(self):
-        self.bytes, self.messages, self.cpu, self.calls = Counter(), Counter(), Counter(), Counter()
-        self.stack, self.since = [], 0.0
+        self.byte_counts, self.message_counts = Counter(), Counter()
+        self.cpu_s, self.call_counts = Counter(), Counter()
+        self.stack, self.charged_until_s = [], 0.0
 
-    def count(self, kind: str, way: str, data, messages: int):
-        self.bytes[kind, way] += len(data)
-        self.messages[kind, way] += messages
+    def count(self, kind: str, direction: str, data, messages: int):
+        self.byte_counts[kind, direction] += len(data)
+        self.message_counts[kind, direction] += messages
 
     def timed(self, activity: str, call):
-        """`call`, its processor time charged to the activity."""
+        """Wraps a callable so that its processor time is charged to the activity."""
 
-        def run(*arguments):
+        def run(*args):
             self.enter(activity)
             try:
-                return call(*arguments)
+                return call(*args)
             finally:
                 self.leave()
 
@@ -60,80 +60,86 @@
     def enter(self, activity: str):
         now = thread_time()
         if self.stack:
-            self.cpu[self.stack[-1]] += now - self.since
+            self.cpu_s[self.stack[-1]] += now - self.charged_until_s
         self.stack.append(activity)
-        self.calls[activity] += 1
-        self.since = now
+        self.call_counts[activity] += 1
+        self.charged_until_s = now
 
     def leave(self):
         now = thread_time()
-        self.cpu[self.stack.pop()] += now - self.since
-        self.since = now
+        self.cpu_s[self.stack.pop()] += now - self.charged_until_s
+        self.charged_until_s = now
 
     def take(self) -> dict:
-        """What was counted since the last call, as plain values."""
-        made = {
+        """Returns the counts since the last call as plain values, and resets them."""
+        totals = {
             "traffic": {
                 kind: {
-                    f"{way}_{unit}": counts[kind, way]
-                    for way in (IN, OUT)
-                    for unit, counts in (("bytes", self.bytes), ("messages", self.messages))
+                    f"{direction}_{unit}": counts[kind, direction]
+                    for direction in (IN, OUT)
+                    for unit, counts in (
+                        ("bytes", self.byte_counts),
+                        ("messages", self.message_counts),
+                    )
                 }
                 for kind in KINDS
             },
-            "cpu_ms": {name: 1000.0 * spent for name, spent in self.cpu.items()},
-            "calls": dict(self.calls),
+            "cpu_ms": {name: 1000.0 * seconds for name, seconds in self.cpu_s.items()},
+            "calls": dict(self.call_counts),
         }
-        for counts in (self.bytes, self.messages, self.cpu, self.calls):
+        for counts in (self.byte_counts, self.message_counts, self.cpu_s, self.call_counts):
             counts.clear()
-        return made
+        return totals
 
 
 class InstructionCounter:
-    """Counts the interpreter's instructions in the product's own code while it is entered: the same
-    every run."""
+    """Counts the bytecode instructions that run in the package, outside the laboratory.
+
+    Unlike times, the count is the same in every run."""
 
     def __init__(self):
-        self.count, self.before = 0, None
+        self.count, self.previous_trace = 0, None
 
     def __enter__(self):
-        self.before = sys.gettrace()
-        sys.settrace(self.called)
+        self.previous_trace = sys.gettrace()
+        sys.settrace(self.trace_call)
         return self
 
-    def __exit__(self, *error):
-        sys.settrace(self.before)
+    def __exit__(self, *exc_info):
+        sys.settrace(self.previous_trace)
 
-    def called(self, frame, event, argument):
-        name = frame.f_code.co_filename
-        if not name.startswith(PACKAGE_ROOT) or name.startswith(LAB_ROOT):
+    def trace_call(self, frame, event, arg):
+        path = frame.f_code.co_filename
+        if not path.startswith(PACKAGE_ROOT) or path.startswith(LAB_ROOT):
             return None
         frame.f_trace_opcodes, frame.f_trace_lines = True, False
-        return self.executed
+        return self.trace_opcode
 
-    def executed(self, frame, event, argument):
+    def trace_opcode(self, frame, event, arg):
         self.count += event == "opcode"
-        return self.executed
+        return self.trace_opcode
+
 
+class ReferenceLoop:
+    """Measures the processor time of a fixed loop throughout a run.
 
-class Yardstick:
-    """A plain loop's processor time, taken again and again beside a run: what else the machine does
-    slows both alike."""
+    Other load on the machine slows the loop and the run alike, so that the figures of runs can be
+    scaled to the same speed."""
 
-    LOOPS = 20_000
+    ITERATIONS = 20_000
 
     def __init__(self):
-        self.spent, self.times = 0.0, 0
+        self.spent_s, self.repetitions = 0.0, 0
 
-    def lay(self):
-        began, total = thread_time(), 0
-        for number in range(self.LOOPS):
+    def run(self):
+        started_s, total = thread_time(), 0
+        for number in range(self.ITERATIONS):
             total += number & 7
-        self.spent += thread_time() - began
-        self.times += 1
+        self.spent_s += thread_time() - started_s
+        self.repetitions += 1
 
     def take(self) -> float:
-        """The mean time of a loop, ms, since the last call."""
-        made = 1000.0 * self.spent / max(1, self.times)
-        self.spent, self.times = 0.0, 0
-        return made
+        """Returns the mean time (ms) of the loops since the last call, and resets it."""
+        mean_ms = 1000.0 * self.spent_s / max(1, self.repetitions)
+        self.spent_s, self.repetitions = 0.0, 0
+        return mean_ms
--- a/havendyke/lab/scale/page.py
+++ b/havendyke/lab/scale/page.py
@@ -9,7 +9,7 @@
 from .meter import KINDS
 
 TABLE_MARKER = re.compile(r"<!-- begin (?P<name>[a-z-]+) -->\n.*?<!-- end (?P=name) -->", re.DOTALL)
-PARTS = ("judge", "plan", "emit", "ask", "turn", "parse", "send", "timers")
+ACTIVITIES = ("judge", "plan", "emit", "ask", "turn", "parse", "send", "timers")
 MECHANISMS = {
     "list": (
         "the whole list each 3 s (`net/discovery.py`)",
@@ -37,8 +37,16 @@
     "control machine": "relay, store and discovery in even parts on six",
     "operator's tools": "the log, with limits a second",
 }
-CHECKED = ("bytes", "list/bytes", "reports/bytes", "probes/bytes", "news/bytes", "messages", "cpu")
-SLOPES = (
+CHECKED_METRICS = (
+    "bytes",
+    "list/bytes",
+    "reports/bytes",
+    "probes/bytes",
+    "news/bytes",
+    "messages",
+    "cpu",
+)
+SLOPE_METRICS = (
     "calm/list/bytes",
     "calm/reports/bytes",
     "calm/probes/bytes",
@@ -64,12 +72,12 @@
     """A page without its marks; one line."""
 
 
-def table(head: list, rows: list) -> str:
+def markdown_table(head: list, rows: list) -> str:
     lines = [head, ["---"] * len(head), *rows]
     return "\n".join("| " + " | ".join(str(cell) for cell in line) + " |" for line in lines)
 
 
-def figure(value: float) -> str:
+def format_figure(value: float) -> str:
     """Three digits, thousands parted by commas."""
     if value == 0:
         return "0"
@@ -78,7 +86,7 @@
     return f"{value:.3g}"
 
 
-def share(value: float, budget: float) -> str:
+def format_share(value: float, budget: float) -> str:
     part = value / budget
     return f"{100 * part:.0f} %" if part < 10 else f"{part:.0f} times"
 
@@ -87,10 +95,10 @@
     """All tables, each a method's text by its mark's name."""
 
     def __init__(self, records: list):
-        self.records, self.models = records, fit.models(records)
-        self.capacity, self.size = roles.Capacity(self.models, records), roles.target()
+        self.records, self.models = records, fit.fit_models(records)
+        self.capacity, self.size = roles.Capacity(self.models, records), roles.target_size()
 
-    def blocks(self) -> dict:
+    def tables(self) -> dict:
         return {
             "text": self.text(),
             "assumptions": self.assumptions(),
@@ -120,35 +128,40 @@
         )
 
     def assumptions(self) -> str:
-        return table(
+        return markdown_table(
             ["assumption", "value", "range", "why"],
             [
-                [a.name, figure(a.value), f"{figure(a.least)} to {figure(a.most)}", a.why]
+                [
+                    a.name,
+                    format_figure(a.value),
+                    f"{format_figure(a.minimum)} to {format_figure(a.maximum)}",
+                    a.reason,
+                ]
                 for a in roles.ASSUMPTIONS
             ],
         )
 
     def assigner(self) -> str:
-        direct = self.nearest()
-        values, rows = fit.metrics(direct), []
+        direct = self.nearest_record()
+        values, rows = fit.record_metrics(direct), []
         for phase, said in roles.SITUATIONS.items():
             load = self.capacity.assigner(phase, self.size)
             run = values[f"{phase}/cpu"] * self.capacity.cpu_ratio
             rows.append(
                 [
                     said,
-                    figure(load.messages),
-                    figure(load.bytes),
-                    share(load.bytes, roles.BYTES_BUDGET),
-                    figure(values[f"{phase}/bytes"]),
-                    figure(load.cpu_ms),
-                    share(load.cpu_ms, roles.CPU_BUDGET_MS),
-                    figure(run),
+                    format_figure(load.messages),
+                    format_figure(load.bytes),
+                    format_share(load.bytes, roles.BYTES_BUDGET),
+                    format_figure(values[f"{phase}/bytes"]),
+                    format_figure(load.cpu_ms),
+                    format_share(load.cpu_ms, roles.CPU_BUDGET_MS),
+                    format_figure(run),
                 ]
             )
         memory, ran = self.capacity.memory_mb, direct["size"]
         return (
-            table(
+            markdown_table(
                 [
                     "situation",
                     "messages/s",
@@ -166,10 +179,10 @@
             f"{ran['proxies']} proxies, {ran['assigners']} assigners of which {ran['hollow']} ran, "
             f"{ran['reports']} reports a second). Memory of a real one at "
             f"`{self.capacity.memory_point}`: "
-            f"{memory:.0f} MB, {share(memory, roles.MEMORY_BUDGET_MB)} of 128 MB."
+            f"{memory:.0f} MB, {format_share(memory, roles.MEMORY_BUDGET_MB)} of 128 MB."
         )
 
-    def nearest(self) -> dict:
+    def nearest_record(self) -> dict:
         """The record whose size is the nearest to the target's, by factors."""
         return min(
             self.records,
@@ -183,18 +196,18 @@
         rows = []
         for kind in KINDS:
             values = {
-                phase: self.capacity.of(phase, kind, "bytes", self.size)
+                phase: self.capacity.traffic(phase, kind, "bytes", self.size)
                 for phase in ("calm", "release", "zone", "start")
             }
             rows.append(
                 [
                     kind,
-                    *(figure(v) for v in values.values()),
-                    share(values["calm"], roles.BYTES_BUDGET),
+                    *(format_figure(v) for v in values.values()),
+                    format_share(values["calm"], roles.BYTES_BUDGET),
                     *MECHANISMS[kind],
                 ]
             )
-        return table(
+        return markdown_table(
             [
                 "kind",
                 "calm, bytes/s",
@@ -210,31 +223,33 @@
 
     def activities(self) -> str:
         rows = []
-        for part in PARTS:
+        for part in ACTIVITIES:
             values = [
-                self.capacity.cpu_ratio * self.capacity.at(f"{phase}/cpu/{part}", self.size)
+                self.capacity.cpu_ratio * self.capacity.predict(f"{phase}/cpu/{part}", self.size)
                 for phase in ("calm", "release", "zone", "start")
             ]
-            rows.append([part, *map(figure, values), share(values[0], roles.CPU_BUDGET_MS)])
-        return table(
+            rows.append(
+                [part, *map(format_figure, values), format_share(values[0], roles.CPU_BUDGET_MS)]
+            )
+        return markdown_table(
             ["activity", "calm, ms/s", "release", "zone lost", "restart", "calm of 40 ms/s"], rows
         )
 
     def roles(self) -> str:
         rows = []
         for phase, said in roles.SITUATIONS.items():
-            for load in self.capacity.others(phase, self.size):
+            for load in self.capacity.other_roles(phase, self.size):
                 rows.append(
                     [
                         load.role,
                         said,
-                        figure(load.messages),
-                        figure(load.bytes),
+                        format_figure(load.messages),
+                        format_figure(load.bytes),
                         ROLE_MECHANISMS[load.role],
                     ]
                 )
         rows.sort(key=lambda row: list(ROLE_MECHANISMS).index(row[0]))
-        return table(
+        return markdown_table(
             ["role", "situation", "messages/s", "bytes/s", "mechanism, all in force"], rows
         )
 
@@ -253,11 +268,11 @@
                         times["count"],
                         *(times.get(k, "-") for k in ("median", "p99", "last")),
                         p["unfinished"],
-                        figure(p["asked_most"]),
-                        figure(p["fullest_fresh"]) if phase == "release" else "-",
+                        format_figure(p["asked_most"]),
+                        format_figure(p["fullest_fresh"]) if phase == "release" else "-",
                     ]
                 )
-        return table(
+        return markdown_table(
             [
                 "assigners, all run",
                 "tasks",
@@ -293,12 +308,12 @@
                     real["count"],
                     ", ".join(ratios),
                     f"{min(counts):.2f} to {max(counts):.2f}",
-                    figure(real["cpu_ms"]),
+                    format_figure(real["cpu_ms"]),
                     f"{real['cpu_real_over_hollow']:.2f}",
-                    figure(real["memory_mb"]),
+                    format_figure(real["memory_mb"]),
                 ]
             )
-        return table(
+        return markdown_table(
             [
                 "point",
                 "real ones",
@@ -313,7 +328,7 @@
 
     def slopes(self) -> str:
         rows = []
-        for metric in SLOPES:
+        for metric in SLOPE_METRICS:
             model = self.models[metric]
             for curve in model.curves.values():
                 rows.append(
@@ -321,15 +336,15 @@
                         f"`{metric}`",
                         curve.axis,
                         curve.form,
-                        figure(curve.slope),
-                        f"{figure(curve.low)} to {figure(curve.high)}",
-                        figure(curve.intercept),
-                        figure(curve.residual),
+                        format_figure(curve.slope),
+                        f"{format_figure(curve.low)} to {format_figure(curve.high)}",
+                        format_figure(curve.intercept),
+                        format_figure(curve.residual),
                         curve.points,
                         model.combine,
                     ]
                 )
-        return table(
+        return markdown_table(
             [
                 "figure",
                 "axis",
@@ -345,8 +360,8 @@
         )
 
     def check_predictions(self) -> list:
-        wanted = [f"{phase}/{unit}" for phase in roles.SITUATIONS for unit in CHECKED]
-        return fit.checks(self.records, self.models, wanted)
+        wanted = [f"{phase}/{unit}" for phase in roles.SITUATIONS for unit in CHECKED_METRICS]
+        return fit.check_predictions(self.records, self.models, wanted)
 
     def held_out(self) -> str:
         told = self.check_predictions()
@@ -355,14 +370,14 @@
             f"{len(told) - len(failed)} of {len(told)} predictions within 25 % or within 1 % "
             "of a budget. Beyond:\n\n"
         )
-        return said + table(
+        return said + markdown_table(
             ["point", "figure", "measured", "predicted", "miss"],
             [
                 [
                     c.point,
                     f"`{c.metric}`",
-                    figure(c.measured),
-                    figure(c.predicted),
+                    format_figure(c.measured),
+                    format_figure(c.predicted),
                     f"{100 * c.relative_error:+.0f} %",
                 ]
                 for c in failed
@@ -377,20 +392,20 @@
             ("slices", roles.SLICES),
             ("classes", roles.CLASSES),
         ):
-            for value in (assumption.least, assumption.value, assumption.most):
+            for value in (assumption.minimum, assumption.value, assumption.maximum):
                 size = {**self.size, name: value}
                 calm, zone = (self.capacity.assigner(phase, size) for phase in ("calm", "zone"))
                 rows.append(
                     [
                         name,
-                        figure(value),
-                        figure(calm.bytes),
-                        figure(calm.cpu_ms),
-                        figure(zone.bytes),
-                        figure(zone.cpu_ms),
+                        format_figure(value),
+                        format_figure(calm.bytes),
+                        format_figure(calm.cpu_ms),
+                        format_figure(zone.bytes),
+                        format_figure(zone.cpu_ms),
                     ]
                 )
-        return table(
+        return markdown_table(
             ["assumption", "value", "calm, bytes/s", "ms/s", "zone lost, bytes/s", "ms/s"], rows
         )
 
@@ -398,36 +413,46 @@
         rows = []
         for axis, value in self.size.items():
             largest = max(r["size"][axis] for r in self.records)
-            rows.append([axis, figure(value), figure(largest), figure(max(1.0, value / largest))])
+            rows.append(
+                [
+                    axis,
+                    format_figure(value),
+                    format_figure(largest),
+                    format_figure(max(1.0, value / largest)),
+                ]
+            )
         together = max(r["size"]["hollow"] for r in self.records)
         rows.append(
             [
                 "assigners run together",
                 roles.ASSIGNERS,
                 together,
-                figure(roles.ASSIGNERS / together),
+                format_figure(roles.ASSIGNERS / together),
             ]
         )
-        return table(["axis", "target", "largest run", "extrapolated by"], rows)
+        return markdown_table(["axis", "target", "largest run", "extrapolated by"], rows)
 
     def ranking(self) -> str:
         rows = []
         for c in sorted(roles.CANDIDATES, key=lambda c: -c.weight(self.capacity, self.size)):
-            met, now = c.met_at(self.capacity), c.share(self.capacity, roles.on_the_way(0.0))
+            met, now = (
+                c.exhausted_at(self.capacity),
+                c.share(self.capacity, roles.size_between(0.0)),
+            )
             rows.append(
                 [
                     c.name,
                     roles.SITUATIONS[c.phase],
-                    f"{figure(c.value(self.capacity, self.size))} {c.unit}/s",
+                    f"{format_figure(c.value(self.capacity, self.size))} {c.unit}/s",
                     f"{c.share(self.capacity, self.size):.2f}",
-                    f"{c.part:.1g}",
+                    f"{c.time_share:.1g}",
                     f"{now:.2f}",
                     f"{met[0]:.0f} and {met[1]:.0f}" if met else "not on the way",
                     c.harm,
                     c.mechanism,
                 ]
             )
-        return table(
+        return markdown_table(
             [
                 "candidate",
                 "situation",
@@ -460,7 +485,7 @@
 
 def rewrite_pages(folder: Path, pages: list) -> list:
     """Writes the pages anew from the records; returns those that changed."""
-    blocks, changed = Page(record.read_all(folder)).blocks(), []
+    blocks, changed = Page(record.read_all(folder)).tables(), []
     made = [
         (path, replace_tables(Path(path).read_text(), blocks)) for path in pages
     ]  # all of them, before any is written
--- a/havendyke/lab/scale/plot.py
+++ b/havendyke/lab/scale/plot.py
@@ -19,7 +19,7 @@
 
 def draw(records: list, metric: str, path: Path):
     """Draws a metric's curves into a new file."""
-    models = fit.models(records)
+    models = fit.fit_models(records)
     if metric not in models:
         raise PlotError(
             f"no figure is named '{metric[:60]}'; there are calm/bytes, calm/cpu, "
@@ -32,15 +32,15 @@
         1, max(1, len(curves)), squeeze=False, figsize=(4 * max(1, len(curves)), 3.5)
     )
     for axes, curve in zip(places[0], curves.values()):
-        on_it = ("base", *fit.axes_of(metric).get(curve.axis, (curve.axis,)))
+        roles = ("base", *fit.metric_axes(metric).get(curve.axis, (curve.axis,)))
         points = sorted(
-            (fit.place(r["size"], curve.axis), fit.metrics(r)[metric])
+            (fit.axis_position(r["size"], curve.axis), fit.record_metrics(r)[metric])
             for r in records
-            if r["role"] in on_it
+            if r["role"] in roles
         )
         xs = numpy.linspace(points[0][0], points[-1][0], POINTS)
         axes.plot(*zip(*points), "o")
-        axes.plot(xs, [curve.at(x) for x in xs])
+        axes.plot(xs, [curve.value_at(x) for x in xs])
         axes.set(xlabel=curve.axis, title=f"{metric}, {curve.form}")
     figure.tight_layout()
     try:
--- a/havendyke/lab/scale/record.py
+++ b/havendyke/lab/scale/record.py
@@ -1,4 +1,4 @@
-"""One JSON record a run: written once, never over another, and checked when it is read."""
+"""JSON records, one per run: never overwritten, and checked when they are read."""
 
 import hashlib
 import json
@@ -9,9 +9,9 @@
 
 import psutil
 
-FORM = "havendyke scale 1"
+RECORD_FORMAT = "havendyke scale 1"
 PACKAGE_ROOT = Path(__file__).parents[2]
-MEASURED = ("*.py", "net/*.py")  # the product's files whose cost a run measures
+MEASURED_FILES = ("*.py", "net/*.py")  # files of the package whose cost a run measures
 FIELDS = {
     "form": str,
     "point": str,
@@ -28,11 +28,11 @@
 
 
 class RecordError(ValueError):
-    """A file that is no record, or one that does not belong to the others; one line."""
+    """A file that is not a valid record or does not match the others; the message is one line."""
 
 
 def machine() -> dict:
-    """What a figure depends on; nothing that names the machine."""
+    """Properties of the machine that the figures depend on; none of them identifies it."""
     return {
         "cores": os.cpu_count(),
         "memory_gb": round(psutil.virtual_memory().total / GB),
@@ -41,19 +41,19 @@
 
 
 def source_version() -> dict:
-    """The commit, and a digest of the measured files, which stays where a commit changes others."""
+    """The commit, and a digest of the measured files, which other changes leave as it is."""
     digest = hashlib.blake2b(digest_size=8)
-    for pattern in MEASURED:
+    for pattern in MEASURED_FILES:
         for path in sorted(PACKAGE_ROOT.glob(pattern)):
             digest.update(path.read_bytes())
-    told = subprocess.run(
+    result = subprocess.run(
         ["git", "rev-parse", "--short=12", "HEAD"], cwd=PACKAGE_ROOT, capture_output=True, text=True
     )
-    return {"commit": told.stdout.strip() or "unknown", "sources": digest.hexdigest()}
+    return {"commit": result.stdout.strip() or "unknown", "sources": digest.hexdigest()}
 
 
 def write(folder: Path, name: str, record: dict) -> Path:
-    """Writes a new record; raises `RecordError` where its file is there already."""
+    """Writes a new record; raises `RecordError` if its file exists."""
     path = Path(folder) / f"{name}.json"
     try:
         with open(path, "x") as file:
@@ -67,32 +67,33 @@
 
 
 def read(path: Path) -> dict:
-    """One record, checked; raises `RecordError`."""
+    """Reads and checks a record; raises `RecordError`."""
     try:
-        made = json.loads(Path(path).read_text())
+        record = json.loads(Path(path).read_text())
     except OSError as error:
         raise RecordError(f"{path}: {error.strerror}") from None
     except ValueError as error:
         raise RecordError(f"{path}: not JSON: {error}") from None
-    if not isinstance(made, dict) or made.get("form") != FORM:
+    if not isinstance(record, dict) or record.get("form") != RECORD_FORMAT:
         raise RecordError(f"{path}: not a record of a scale run")
     for name, kind in FIELDS.items():
-        if not isinstance(made.get(name), kind):
+        if not isinstance(record.get(name), kind):
             raise RecordError(f"{path}: field '{name}' is missing or no {kind.__name__}")
-    return made
+    return record
 
 
 def read_all(folder: Path) -> list:
-    """All records of a folder, by name; raises `RecordError` where one is broken or of another text
-    than the others."""
+    """Reads all records of a folder in the order of their names.
+
+    Raises `RecordError` if one is invalid or was made with other sources than the first."""
     paths = sorted(Path(folder).glob("*.json"))
     if not paths:
         raise RecordError(f"{folder}: no records")
-    made = [read(path) for path in paths]
-    for path, record in zip(paths, made):
-        if record["text"].get("sources") != made[0]["text"].get("sources"):
+    records = [read(path) for path in paths]
+    for path, record in zip(paths, records):
+        if record["text"].get("sources") != records[0]["text"].get("sources"):
             raise RecordError(
                 f"{path}: of another text than {paths[0].name}; keep records of one text in a "
                 "folder"
             )
-    return made
+    return records
--- a/havendyke/lab/scale/roles.py
+++ b/havendyke/lab/scale/roles.py
@@ -10,9 +10,9 @@
     40.0,
     128.0,
 )  # a second, a second, at any time
-CHANGES_A_DAY, RESTARTS_A_DAY, CHANGE_MS = 430, 2_300, 10_000.0
-MINUTES_A_DAY = 1_440
-TODAY = {"tasks": 200, "assigners": 5}  # the largest fleet that the bench has played
+CHANGES_PER_DAY, RESTARTS_PER_DAY, CHANGE_MS = 430, 2_300, 10_000.0
+MINUTES_PER_DAY = 1_440
+CURRENT_SIZE = {"tasks": 200, "assigners": 5}  # the largest fleet that the bench has played
 
 SITUATIONS = {
     "calm": "calm",
@@ -30,9 +30,9 @@
 
     name: str
     value: float
-    least: float
-    most: float
-    why: str
+    minimum: float
+    maximum: float
+    reason: str
 
 
 PROXIES = Assumption(
@@ -58,20 +58,33 @@
     "each second, a line a slice and class, and one a zone for each task that a line names (owner "
     "and spare)",
 )
-ENTRY = Assumption(
+LIST_ENTRY_BYTES = Assumption(
     "bytes of an entry of the list", 139, 100, 300, "as our stand-in writes the protocol's fields"
 )
-LINE = Assumption("bytes of a line at a proxy", 80, 60, 200, "as the relay's call words it")
-LINES = Assumption("lines of a table", 2, 1, 4, "an owner and a spare")
-RACK = Assumption("tasks of a rack", 40, 20, 80, "6,200 tasks in some 155 racks")
-REGION = Assumption("zones of a lost region", 3, 2, 3, "7 zones in 3 regions")
-CALM = Assumption(
+TABLE_ENTRY_BYTES = Assumption(
+    "bytes of a line at a proxy", 80, 60, 200, "as the relay's call words it"
+)
+ENTRIES_PER_TABLE = Assumption("lines of a table", 2, 1, 4, "an owner and a spare")
+RACK_TASKS = Assumption("tasks of a rack", 40, 20, 80, "6,200 tasks in some 155 racks")
+REGION_ZONES = Assumption("zones of a lost region", 3, 2, 3, "7 zones in 3 regions")
+CALM_DEMAND = Assumption(
     "part of the peak's requests on an ordinary hour", 1 / 3, 0.2, 0.6, "no figure in the letter"
 )
-ASSUMPTIONS = (PROXIES, SLICES, CLASSES, REPORTS, ENTRY, LINE, LINES, RACK, REGION, CALM)
+ASSUMPTIONS = (
+    PROXIES,
+    SLICES,
+    CLASSES,
+    REPORTS,
+    LIST_ENTRY_BYTES,
+    TABLE_ENTRY_BYTES,
+    ENTRIES_PER_TABLE,
+    RACK_TASKS,
+    REGION_ZONES,
+    CALM_DEMAND,
+)
 
 
-def target() -> dict:
+def target_size() -> dict:
     """The letter's size in the axes of a run."""
     return {
         "tasks": TASKS,
@@ -80,17 +93,17 @@
         "assigners": ASSIGNERS,
         "zones": ZONES,
         "classes": CLASSES.value,
-        "changes": RESTARTS_A_DAY / MINUTES_A_DAY,
+        "changes": RESTARTS_PER_DAY / MINUTES_PER_DAY,
         "reports": REPORTS.value,
     }
 
 
-def on_the_way(part: float) -> dict:
+def size_between(progress: float) -> dict:
     """A size between today's (0) and the target (1), tasks and assigners growing by equal factors
     in equal parts."""
-    size = target()
-    for axis, now in TODAY.items():
-        size[axis] = now * (size[axis] / now) ** part
+    size = target_size()
+    for axis, now in CURRENT_SIZE.items():
+        size[axis] = now * (size[axis] / now) ** progress
     return size
 
 
@@ -111,71 +124,71 @@
 
     def __init__(self, models: dict, records: list):
         self.models, self.records = models, records
-        beside = [r for r in records if "real" in r]
-        largest = max(beside, key=lambda r: r["size"]["tasks"] * r["size"]["proxies"])
+        with_real = [r for r in records if "real" in r]
+        largest = max(with_real, key=lambda r: r["size"]["tasks"] * r["size"]["proxies"])
         self.cpu_ratio, self.memory_mb = (
             largest["real"]["cpu_real_over_hollow"],
             largest["real"]["memory_mb"],
         )
         self.memory_point = largest["point"]
 
-    def at(self, metric: str, size: dict) -> float:
+    def predict(self, metric: str, size: dict) -> float:
         return self.models[metric].predict(size)
 
-    def cpu(self, phase: str, size: dict) -> float:
+    def real_cpu_ms(self, phase: str, size: dict) -> float:
         """Processor time of a real assigner, ms a second."""
-        return self.cpu_ratio * self.at(f"{phase}/cpu", size)
+        return self.cpu_ratio * self.predict(f"{phase}/cpu", size)
 
     def assigner(self, phase: str, size: dict) -> Load:
         return Load(
             "assigner",
             phase,
-            self.at(f"{phase}/messages", size),
-            self.at(f"{phase}/bytes", size),
-            self.cpu(phase, size),
+            self.predict(f"{phase}/messages", size),
+            self.predict(f"{phase}/bytes", size),
+            self.real_cpu_ms(phase, size),
         )
 
-    def of(self, phase: str, kind: str, unit: str, size: dict) -> float:
-        return self.at(f"{phase}/{kind}/{unit}", size)
+    def traffic(self, phase: str, kind: str, unit: str, size: dict) -> float:
+        return self.predict(f"{phase}/{kind}/{unit}", size)
 
-    def others(self, phase: str, size: dict) -> list:
+    def other_roles(self, phase: str, size: dict) -> list:
         """The other roles in one situation, all assigners together."""
         count = size["assigners"]
         pushes, orders = (
-            count * self.at(f"{phase}/calls/sent", size),
-            count * self.at(f"{phase}/orders", size),
+            count * self.predict(f"{phase}/calls/sent", size),
+            count * self.predict(f"{phase}/orders", size),
         )
 
-        def both(unit, *kinds):
-            return sum(self.of(phase, kind, unit, size) for kind in kinds)
+        def total(unit, *kinds):
+            return sum(self.traffic(phase, kind, unit, size) for kind in kinds)
 
-        at_proxy = Load("proxy", phase, pushes, orders * LINE.value, None)
+        proxy = Load("proxy", phase, pushes, orders * TABLE_ENTRY_BYTES.value, None)
         relay = Load(
             "relay and store",
             phase,
-            count * both("messages", "news", "calls") + pushes * size["proxies"],
-            count * both("bytes", "news", "calls") + size["proxies"] * at_proxy.bytes,
+            count * total("messages", "news", "calls") + pushes * size["proxies"],
+            count * total("bytes", "news", "calls") + size["proxies"] * proxy.bytes,
             None,
         )
         agent = Load(
             "discovery's agent",
             phase,
-            both("messages", "list", "watch"),
-            both("bytes", "list", "watch"),
+            total("messages", "list", "watch"),
+            total("bytes", "list", "watch"),
             None,
         )
         discovery = Load(
             "discovery",
             phase,
-            count * self.of(phase, "watch", "messages", size) / 2,
-            count * (self.of(phase, "watch", "bytes", size) / 2),
+            count * self.traffic(phase, "watch", "messages", size) / 2,
+            count * (self.traffic(phase, "watch", "bytes", size) / 2),
             None,
         )
         collector = Load(
             "collector",
             phase,
-            count * both("messages", "reports") / size["zones"],
-            count * both("bytes", "reports") / size["zones"],
+            count * total("messages", "reports") / size["zones"],
+            count * total("bytes", "reports") / size["zones"],
             None,
         )
         control = Load(
@@ -188,18 +201,18 @@
         tools = Load(
             "operator's tools",
             phase,
-            count * self.at(f"{phase}/log_lines", size),
-            count * self.at(f"{phase}/log_bytes", size),
+            count * self.predict(f"{phase}/log_lines", size),
+            count * self.predict(f"{phase}/log_bytes", size),
             None,
         )
         task = Load(
             "task",
             phase,
-            count * both("messages", "probes") / size["tasks"],
-            count * both("bytes", "probes") / size["tasks"],
+            count * total("messages", "probes") / size["tasks"],
+            count * total("bytes", "probes") / size["tasks"],
             None,
         )
-        return [at_proxy, relay, discovery, agent, collector, task, control, tools]
+        return [proxy, relay, discovery, agent, collector, task, control, tools]
 
 
 @dataclass(frozen=True)
@@ -211,34 +224,40 @@
     metrics: tuple
     budget: float
     unit: str  # "bytes", or "ms" of a real assigner
-    part: float  # of the time, that the situation lasts
+    time_share: float  # of the time, that the situation lasts
     harm: str
     mechanism: str
 
     def weight(self, capacity: Capacity, size: dict) -> float:
         """The share of the budget, by the part of the time that it is taken."""
-        return self.part * self.share(capacity, size)
+        return self.time_share * self.share(capacity, size)
 
     def value(self, capacity: Capacity, size: dict) -> float:
         """What it takes a second, in its unit."""
-        made = sum(capacity.at(metric, size) for metric in self.metrics)
+        made = sum(capacity.predict(metric, size) for metric in self.metrics)
         return made * (capacity.cpu_ratio if self.unit == "ms" else 1.0)
 
     def share(self, capacity: Capacity, size: dict) -> float:
         return self.value(capacity, size) / self.budget
 
-    def met_at(self, capacity: Capacity, steps: int = 400):
+    def exhausted_at(self, capacity: Capacity, steps: int = 400):
         """The assigners and tasks on the way at which it takes its whole budget; None: at none up
         to the target."""
         for step in range(steps + 1):
-            size = on_the_way(step / steps)
+            size = size_between(step / steps)
             if self.share(capacity, size) >= 1.0:
                 return size["assigners"], size["tasks"]
         return None
 
 
-ALWAYS, A_MINUTE_A_RACK, TWICE_A_YEAR = 1.0, 1 / (7 * MINUTES_A_DAY), 2 / (365 * MINUTES_A_DAY)
-TURN = tuple(f"calm/cpu/{part}" for part in ("judge", "shed", "plan", "emit", "ask", "turn"))
+ALL_THE_TIME, MINUTE_PER_WEEK, TWO_MINUTES_PER_YEAR = (
+    1.0,
+    1 / (7 * MINUTES_PER_DAY),
+    2 / (365 * MINUTES_PER_DAY),
+)
+RECONCILIATION_METRICS = tuple(
+    f"calm/cpu/{activity}" for activity in ("judge", "shed", "plan", "emit", "ask", "turn")
+)
 CANDIDATES = (
     Candidate(
         "list",
@@ -246,17 +265,17 @@
         ("calm/list/bytes",),
         BYTES_BUDGET,
         "bytes",
-        ALWAYS,
+        ALL_THE_TIME,
         "the whole budget many times over, at each assigner; the agent has to hand out all of it",
         "a look at what changed, in place of the whole list each 3 s",
     ),
     Candidate(
         "turns",
         "calm",
-        TURN,
+        RECONCILIATION_METRICS,
         CPU_BUDGET_MS,
         "ms",
-        ALWAYS,
+        ALL_THE_TIME,
         "looks come late, and drains with them",
         "looks at what changed (dirty sets, timers) in place of all tasks",
     ),
@@ -266,7 +285,7 @@
         ("calm/reports/bytes",),
         BYTES_BUDGET,
         "bytes",
-        ALWAYS,
+        ALL_THE_TIME,
         "collectors send each line to each that names a task",
         "sampling with known weight, or sums by the collectors",
     ),
@@ -276,7 +295,7 @@
         ("calm/probes/bytes",),
         BYTES_BUDGET,
         "bytes",
-        ALWAYS,
+        ALL_THE_TIME,
         "connections beside the bytes; a task is asked 5 times a second",
         "fewer probes of tasks that no line names",
     ),
@@ -286,7 +305,7 @@
         ("zone/news/bytes",),
         BYTES_BUDGET,
         "bytes",
-        TWICE_A_YEAR,
+        TWO_MINUTES_PER_YEAR,
         "the relay's watches fall behind and are cut off",
         "answers summed up by the relay, once and not on each watch",
     ),
@@ -296,7 +315,7 @@
         ("release/news/bytes",),
         BYTES_BUDGET,
         "bytes",
-        A_MINUTE_A_RACK,
+        MINUTE_PER_WEEK,
         "as above",
         "as above",
     ),
@@ -306,7 +325,7 @@
         ("start/bytes",),
         BYTES_BUDGET,
         "bytes",
-        TWICE_A_YEAR,
+        TWO_MINUTES_PER_YEAR,
         "the list comes three times: once whole, and on both watches",
         "resumption: what is kept on disk, then what changed since",
     ),
--- a/havendyke/lab/scale/run.py
+++ b/havendyke/lab/scale/run.py
@@ -1,5 +1,4 @@
-"""A run from its point to its record: hollow assigners in workers, real ones beside them where
-asked for."""
+"""Measures a point and makes its record: hollow assigners in workers, then optional real ones."""
 
 from collections import Counter
 
@@ -12,99 +11,110 @@
 from .size import Point, check_machine
 from .workers import Workers
 
-MOST_MS = 3_600_000  # the longest time that a histogram keeps
-A_WORKER = 100  # assigners that a worker runs, where enough are asked for
-DIGITS = 4
+MAX_RECORDED_MS = 3_600_000  # upper limit of the histograms
+ASSIGNERS_PER_WORKER = 100
+DECIMAL_PLACES = 4
 
 
-def spread(times: list) -> dict:
-    """Median, 99th of 100 and last of times in ms."""
+def summarize_times(times: list) -> dict:
+    """Count, median, 99th percentile and maximum of times in ms."""
     if not times:
         return {"count": 0}
-    kept = HdrHistogram(1, MOST_MS, 3)
+    histogram = HdrHistogram(1, MAX_RECORDED_MS, 3)
     for ms in times:
-        kept.record_value(max(1, round(ms)))
+        histogram.record_value(max(1, round(ms)))
     return {
         "count": len(times),
-        "median": kept.get_value_at_percentile(50),
-        "p99": kept.get_value_at_percentile(99),
-        "last": kept.get_max_value(),
+        "median": histogram.get_value_at_percentile(50),
+        "p99": histogram.get_value_at_percentile(99),
+        "last": histogram.get_max_value(),
     }
 
 
-def rounded(value: float) -> float:
-    return round(value, DIGITS)
+def round_value(value: float) -> float:
+    return round(value, DECIMAL_PLACES)
 
 
-def merged(parts: list) -> dict:
-    """One phase of all workers: means for one assigner and second, times of all."""
+def merge_phase(parts: list) -> dict:
+    """Merges a phase of all workers into means per assigner and second."""
     seconds = sum(p["assigners"] for p in parts) * parts[0]["seconds"]
-    cpu, calls, asked = Counter(), Counter(), Counter()
+    cpu, calls, health_check_counts = Counter(), Counter(), Counter()
     for p in parts:
         cpu.update(p["cpu_ms"])
         calls.update(p["calls"])
-        asked.update(p["asked"])
+        health_check_counts.update(p["asked"])
     traffic = {}
     for kind in KINDS:
         counts = Counter()
         for p in parts:
             counts.update(p["traffic"][kind])
         traffic[kind] = {
-            name: rounded(counts[name] / seconds)
+            name: round_value(counts[name] / seconds)
             for name in ("in_bytes", "in_messages", "out_bytes", "out_messages")
         }
     return {
         "seconds": parts[0]["seconds"],
         "assigners": sum(p["assigners"] for p in parts),
         "traffic": traffic,
-        "cpu_ms": {name: rounded(spent / seconds) for name, spent in sorted(cpu.items())},
-        "turns": rounded(calls["turn"] / seconds),
-        "looks": rounded(calls["judge"] / seconds),
-        "orders": rounded(sum(p["orders"] for p in parts) / seconds),
-        "log_bytes": rounded(sum(p["log"]["bytes"] for p in parts) / seconds),
-        "log_lines": rounded(sum(p["log"]["lines"] for p in parts) / seconds),
-        "taken_ms": spread([ms for p in parts for ms in p["taken_ms"]]),
+        "cpu_ms": {name: round_value(spent / seconds) for name, spent in sorted(cpu.items())},
+        "turns": round_value(calls["turn"] / seconds),
+        "looks": round_value(calls["judge"] / seconds),
+        "orders": round_value(sum(p["orders"] for p in parts) / seconds),
+        "log_bytes": round_value(sum(p["log"]["bytes"] for p in parts) / seconds),
+        "log_lines": round_value(sum(p["log"]["lines"] for p in parts) / seconds),
+        "taken_ms": summarize_times([ms for p in parts for ms in p["taken_ms"]]),
         "unfinished": sum(p["unfinished"] for p in parts),
-        "asked_most": rounded(max(asked.values(), default=0) / parts[0]["seconds"]),
+        "asked_most": round_value(
+            max(health_check_counts.values(), default=0) / parts[0]["seconds"]
+        ),
         "fullest_fresh": max(p["fullest_fresh"] for p in parts),
-        "yardstick_ms": rounded(sum(p["yardstick_ms"] for p in parts) / len(parts)),
+        "yardstick_ms": round_value(sum(p["yardstick_ms"] for p in parts) / len(parts)),
     }
 
 
-def beside(hollow: dict, reals: list) -> dict:
-    """Real assigners' calm span against the hollow ones'."""
+def compare_real(hollow: dict, reals: list) -> dict:
+    """Compares the calm phase of real assigners with that of the hollow ones."""
     count = len(reals)
     cpu, memory = (sum(r[name] for r in reals) / count for name in ("cpu_ms", "memory_mb"))
-    yardstick = sum(r["yardstick_ms"] for r in reals) / count
-    ratio = cpu / yardstick / (sum(hollow["cpu_ms"].values()) / hollow["yardstick_ms"])
-    made = {
+    reference_ms = sum(r["yardstick_ms"] for r in reals) / count
+    ratio = cpu / reference_ms / (sum(hollow["cpu_ms"].values()) / hollow["yardstick_ms"])
+    comparison = {
         "count": count,
-        "cpu_ms": rounded(cpu),
-        "memory_mb": rounded(memory),
-        "yardstick_ms": rounded(yardstick),
-        "cpu_real_over_hollow": rounded(ratio),
+        "cpu_ms": round_value(cpu),
+        "memory_mb": round_value(memory),
+        "yardstick_ms": round_value(reference_ms),
+        "cpu_real_over_hollow": round_value(ratio),
     }
     for unit in ("bytes", "messages"):
         for kind in KINDS:
-            theirs = (
-                sum(r["traffic"][kind][f"{way}_{unit}"] for r in reals for way in (IN, OUT)) / count
+            real_total = (
+                sum(
+                    r["traffic"][kind][f"{direction}_{unit}"]
+                    for r in reals
+                    for direction in (IN, OUT)
+                )
+                / count
             )
-            ours = sum(hollow["traffic"][kind][f"{way}_{unit}"] for way in (IN, OUT))
-            if theirs and ours:
-                made[f"{kind}_{unit}_real_over_hollow"] = rounded(theirs / ours)
-    return made
+            hollow_total = sum(
+                hollow["traffic"][kind][f"{direction}_{unit}"] for direction in (IN, OUT)
+            )
+            if real_total and hollow_total:
+                comparison[f"{kind}_{unit}_real_over_hollow"] = round_value(
+                    real_total / hollow_total
+                )
+    return comparison
 
 
 def measure(
     point: Point, seed: int, workers: int, limits: Limits, phases=PHASES, real_count: int = 0
 ) -> dict:
-    """Runs the hollow assigners of a point, then so many real ones; returns its record."""
+    """Runs the hollow assigners of a point, then `real_count` real ones; returns its record."""
     check_machine(point.size, workers, limits.memory_mb)
     guard = Guard(limits)
-    told = Workers(point.size, seed, workers, guard, phases).gather()
+    results = Workers(point.size, seed, workers, guard, phases).gather()
     names = [p.name for p in phases if p.measured]
-    made = {
-        "form": record.FORM,
+    result = {
+        "form": record.RECORD_FORMAT,
         "point": point.name,
         "role": point.role,
         "seed": seed,
@@ -113,13 +123,15 @@
         "machine": record.machine(),
         "text": record.source_version(),
         "memory_mb": {
-            "run": round(guard.most_mb, 1),
-            "assigner": rounded(sum(grown for _, grown in told) / len(told)),
+            "run": round(guard.peak_memory_mb, 1),
+            "assigner": round_value(sum(assigner_mb for _, assigner_mb in results) / len(results)),
+        },
+        "phases": {
+            name: merge_phase([measured[name] for measured, _ in results]) for name in names
         },
-        "phases": {name: merged([measured[name] for measured, _ in told]) for name in names},
     }
     if real_count:
-        made["real"] = beside(
-            made["phases"]["calm"], real.measure(point.size, seed, real_count, guard)
+        result["real"] = compare_real(
+            result["phases"]["calm"], real.measure(point.size, seed, real_count, guard)
         )
-    return made
+    return result
--- a/havendyke/lab/scale/scenario.py
+++ b/havendyke/lab/scale/scenario.py
@@ -1,18 +1,18 @@
-"""The course of a run: phases one after the other, each measured by itself or left to settle."""
+"""The phases of a run, one after the other; each is measured by itself or left to settle."""
 
 from collections import Counter
 from dataclasses import dataclass
 
-from .fleet import CALM_PART, Fleet, change_some
+from .fleet import CALM_DEMAND, Fleet, replace_some_tasks
 from .hollow import HollowAssigner
-from .meter import Yardstick
+from .meter import ReferenceLoop
 from .size import ZONE_NAMES
 
-STEP_MS = 250.0  # the model's own step; assigners run on their deadlines within it
-SECOND_MS = 1000.0  # between reports, and between exchanges of what tasks are sent
-RACK = 40  # tasks of a rack, at most a fifth of all
-RACK_MS = 7_000.0  # in which a rack is drained
-REGION = 3 / 7  # of the zones
+STEP_MS = 250.0  # step of the fleet model; assigners run their deadlines within it
+SECOND_MS = 1000.0  # between reports, and between exchanges of the load of tasks
+RACK_TASKS = 40  # at most a fifth of all tasks
+RACK_DRAIN_MS = 7_000.0  # over which the drains of a rack are spread
+REGION_ZONE_SHARE = 3 / 7  # of the zones
 
 
 @dataclass(frozen=True)
@@ -20,10 +20,10 @@
     name: str
     seconds: int
     measured: bool = True
-    demand: float = CALM_PART  # of the peak
+    demand: float = CALM_DEMAND  # of the peak
 
 
-PHASES = (  # spans of whole looks at the list, 3 s each, where measured
+PHASES = (  # measured phases last a multiple of 3 s, the period of list requests
     Phase("start", 6),
     Phase("settling", 12, False),
     Phase("calm", 12),
@@ -43,104 +43,118 @@
 
 
 class Scenario:
-    """Some of a fleet's assigners through all phases. `exchange(own)` gives the load of all, from
-    that of these."""
+    """Runs some of a fleet's assigners through all phases.
 
-    def __init__(self, fleet: Fleet, numbers, phases=PHASES, exchange=None):
-        self.fleet, self.phases, self.exchange = fleet, phases, exchange or (lambda own: own)
+    `exchange_load(own)` takes the load that these assigners cause and returns that of all."""
+
+    def __init__(self, fleet: Fleet, numbers, phases=PHASES, exchange_load=None):
+        self.fleet, self.phases = fleet, phases
+        self.exchange_load = exchange_load or (lambda own: own)
         self.assigners, self.numbers = [], list(numbers)
-        self.fresh, self.fullest, self.measured, self.yardstick = set(), 0.0, {}, Yardstick()
+        self.restarted_tasks, self.max_restarted_utilization = set(), 0.0
+        self.measured, self.reference_loop = {}, ReferenceLoop()
 
     def run(self) -> dict:
-        """What was measured, by phase; sums over these assigners."""
+        """Returns the measurements by phase, as sums over these assigners."""
         for phase in self.phases:
-            self.begin(phase)
+            self.start_phase(phase)
             for second in range(phase.seconds):
-                self.second(phase, second)
+                self.run_second(phase, second)
             if phase.measured:
-                self.measured[phase.name] = self.taken(phase)
+                self.measured[phase.name] = self.collect(phase)
             else:
-                self.taken(phase)
+                self.collect(phase)
         return self.measured
 
-    def begin(self, phase: Phase):
+    def start_phase(self, phase: Phase):
         fleet, zones = self.fleet, ZONE_NAMES[: self.fleet.size.zones]
         fleet.demand = phase.demand
         if phase.name == "start":
             self.assigners = [HollowAssigner(fleet, number) for number in self.numbers]
         elif phase.name == "release":
-            names = fleet.chance.sample(fleet.names, min(RACK, len(fleet.names) // 5))
-            self.fresh = set(names)
-            for place, name in enumerate(names):
-                fleet.at(RACK_MS * place / len(names), [name], "terminating")
-                fleet.at(RACK_MS * place / len(names) + SECOND_MS * 3, [name], "terminated")
-                fleet.at(RACK_MS * place / len(names) + SECOND_MS * 4, [name], "in_service")
+            names = fleet.rng.sample(fleet.task_names, min(RACK_TASKS, len(fleet.task_names) // 5))
+            self.restarted_tasks = set(names)
+            for position, name in enumerate(names):
+                fleet.schedule_change(RACK_DRAIN_MS * position / len(names), [name], "terminating")
+                fleet.schedule_change(
+                    RACK_DRAIN_MS * position / len(names) + SECOND_MS * 3, [name], "terminated"
+                )
+                fleet.schedule_change(
+                    RACK_DRAIN_MS * position / len(names) + SECOND_MS * 4, [name], "in_service"
+                )
         elif phase.name in ("zone", "region"):
             lost = (
-                zones[:1] if phase.name == "zone" else zones[: max(1, round(len(zones) * REGION))]
+                zones[:1]
+                if phase.name == "zone"
+                else zones[: max(1, round(len(zones) * REGION_ZONE_SHARE))]
             )
-            fleet.lose(lost)
+            fleet.lose_zones(lost)
             for assigner in self.assigners:
-                assigner.restart_proxies(lost)
+                assigner.reconnect_proxies(lost)
         elif phase.name == "healing":
-            fleet.at(
+            fleet.schedule_change(
                 0.0,
-                [n for n in fleet.names if fleet.entries[n]["state"] == "terminated"],
+                [n for n in fleet.task_names if fleet.entries[n]["state"] == "terminated"],
                 "in_service",
             )
 
-    def second(self, phase: Phase, second: int):
+    def run_second(self, phase: Phase, second: int):
         fleet = self.fleet
         if phase.name in ("settling", "calm", "peak"):
-            change_some(fleet, second)
-        fleet.load(self.exchange(sum((a.offers() for a in self.assigners), Counter())))
-        if self.fresh and fleet.size.hollow == fleet.size.assigners:
-            self.fullest = max(
-                [self.fullest]
+            replace_some_tasks(fleet, second)
+        fleet.set_offered_load(
+            self.exchange_load(sum((a.requests_by_task() for a in self.assigners), Counter()))
+        )
+        if self.restarted_tasks and fleet.size.hollow == fleet.size.assigners:
+            self.max_restarted_utilization = max(
+                [self.max_restarted_utilization]
                 + [
-                    fleet.fullness(n)
-                    for n in self.fresh
+                    fleet.utilization(n)
+                    for n in self.restarted_tasks
                     if fleet.entries[n]["state"] == "in_service"
                 ]
             )
         for assigner in self.assigners:
-            assigner.report()
+            assigner.send_reports()
         for _ in range(int(SECOND_MS / STEP_MS)):
-            for names, state in fleet.ripe():
+            for names, state in fleet.take_due_changes():
                 for assigner in self.assigners:
-                    assigner.change(names, state)
-            fleet.now += STEP_MS
+                    assigner.apply_change(names, state)
+            fleet.now_ms += STEP_MS
             for assigner in self.assigners:
                 assigner.run_for(STEP_MS)
-            self.yardstick.lay()
+            self.reference_loop.run()
 
-    def taken(self, phase: Phase) -> dict:
-        """Sums of the phase over these assigners; taken, they begin anew."""
-        told = [a.meter.take() for a in self.assigners]
-        made = {
-            "assigners": len(told),
+    def collect(self, phase: Phase) -> dict:
+        """Returns the sums of the phase over these assigners, and resets them."""
+        meters = [a.meter.take() for a in self.assigners]
+        totals = {
+            "assigners": len(meters),
             "seconds": phase.seconds,
             "traffic": {},
             "cpu_ms": Counter(),
             "calls": Counter(),
         }
-        for one in told:
-            made["cpu_ms"].update(one["cpu_ms"])
-            made["calls"].update(one["calls"])
-            for kind, counts in one["traffic"].items():
-                made["traffic"][kind] = dict(
-                    Counter(made["traffic"].get(kind, {})) + Counter(counts)
+        for counts in meters:
+            totals["cpu_ms"].update(counts["cpu_ms"])
+            totals["calls"].update(counts["calls"])
+            for kind, traffic in counts["traffic"].items():
+                totals["traffic"][kind] = dict(
+                    Counter(totals["traffic"].get(kind, {})) + Counter(traffic)
                 )
-        made["log"] = {
+        totals["log"] = {
             "lines": sum(a.event_loop.log_lines for a in self.assigners),
             "bytes": sum(a.event_loop.log_bytes for a in self.assigners),
         }
-        made["orders"] = sum(a.relay.orders for a in self.assigners)
-        made["taken_ms"] = [round(ms, 1) for a in self.assigners for ms in a.relay.taken_ms]
-        made["unfinished"] = sum(len(a.relay.waits) for a in self.assigners)
-        made["asked"] = dict(sum((a.asked for a in self.assigners), Counter()))
-        made["fullest_fresh"], made["yardstick_ms"] = round(self.fullest, 3), self.yardstick.take()
+        totals["orders"] = sum(a.relay.order_count for a in self.assigners)
+        totals["taken_ms"] = [
+            round(ms, 1) for a in self.assigners for ms in a.relay.removal_times_ms
+        ]
+        totals["unfinished"] = sum(len(a.relay.removal_started_ms) for a in self.assigners)
+        totals["asked"] = dict(sum((a.health_check_counts for a in self.assigners), Counter()))
+        totals["fullest_fresh"] = round(self.max_restarted_utilization, 3)
+        totals["yardstick_ms"] = self.reference_loop.take()
         for a in self.assigners:
-            a.event_loop.log_lines = a.event_loop.log_bytes = a.relay.orders = 0
-            a.relay.taken_ms, a.asked = [], Counter()
-        return made
+            a.event_loop.log_lines = a.event_loop.log_bytes = a.relay.order_count = 0
+            a.relay.removal_times_ms, a.health_check_counts = [], Counter()
+        return totals
--- a/tests/lab/test_scale_run.py
+++ b/tests/lab/test_scale_run.py
@@ -41,7 +41,7 @@
         for unit in ("bytes", "messages")
     }
     with InstructionCounter() as operations:
-        run.second(SHORT_PHASES[2], 0)
+        run.run_second(SHORT_PHASES[2], 0)
     return made | {"operations": operations.count}
 
 
--- a/tests/lab/test_scale_tools.py
+++ b/tests/lab/test_scale_tools.py
@@ -41,8 +41,8 @@
     both = [fit.Model("calm/bytes", 1000.0, curves, how) for how in ("sum", "product")]
     assert [m.predict(size) for m in both] == pytest.approx([1500.0, 1540.0])
     assert (
-        fit.best(both, [(size, 1545.0)]).combine == "product"
-        and fit.best(both, [(size, 1490.0)]).combine == "sum"
+        fit.best_model(both, [(size, 1545.0)]).combine == "product"
+        and fit.best_model(both, [(size, 1490.0)]).combine == "sum"
     )
 
 
@@ -168,7 +168,7 @@
 
 
 def test_the_pages_agree_with_the_records():
-    blocks = page.Page(record.read_all(capacity.RECORDS)).blocks()
+    blocks = page.Page(record.read_all(capacity.RECORDS)).tables()
     for path in capacity.PAGES:
         assert page.replace_tables(path.read_text(), blocks) == path.read_text(), (
             f"python -m benchmarks capacity --page writes {path.name}"
