--- a/havendyke/lab/scale/fit.py
+++ b/havendyke/lab/scale/fit.py
@@ -1,11 +1,11 @@
-"""Slopes from records: how each figure of an assigner grows along each axis, and what that predicts
-elsewhere.
+"""Curves fitted to the records: how each metric of an assigner grows along each axis, and what that
+predicts at other sizes.
 
 A metric is named `phase/kind` (`calm/bytes`, `calm/list/in_bytes`, `release/cpu/judge`, `memory`).
-Along one axis, the others fixed, forms are compared: linear, n log n, square, and inverse (what
-many share). At another size the axes' effects are put together as a sum or as a product, whichever
-says the `pair` records better; the `held` records are used for nothing but the test. A total is the
-sum of its parts' predictions."""
+Along one axis, with the others fixed, several forms are compared: linear, n log n, square, and
+inverse (for a cost shared by many assigners). At other sizes the effects of the axes are combined
+as a sum or as a product, whichever predicts the `pair` records better. The `held` records are only
+used to test the predictions. A total is predicted as the sum of its parts."""
 
 from dataclasses import dataclass
 
@@ -23,29 +23,26 @@
     "square": lambda x: x * x,
     "inverse": lambda x: 1.0 / numpy.maximum(x, 0.1),
 }
-MIN_POINTS = 4  # sizes of an axis, below which no curve is drawn
-REFERENCE_LOOP_MS = (
-    0.51  # of the plain loop in the quickest record; processor times are scaled to it
-)
+MIN_POINTS = 4  # sizes on an axis; no curve is fitted to fewer
+REFERENCE_LOOP_MS = 0.51  # in the fastest record; processor times are scaled to this speed
 RESAMPLES, RESAMPLING_SEED = 400, 20261202
-INTERVAL_PERCENTILES = (2.5, 97.5)  # percentiles of the resampled slopes
-ENTRIES_PER_TABLE = 2  # an owner and a spare
-FLAT_SHARE = 0.02  # of the base's value: an axis that moves a metric by less does nothing to it
-TOLERANCE = 0.25  # of a held-out value, that a prediction may miss it by
+INTERVAL_PERCENTILES = (2.5, 97.5)  # of the resampled slopes
+ENTRIES_PER_TABLE = 2  # a primary and a standby
+FLAT_SHARE = 0.02  # of the base value; an axis with a smaller effect on a metric is ignored
+TOLERANCE = 0.25  # of a held-out value, for the error of its prediction
 NEGLIGIBLE = {
     "bytes": 130.0,
     "cpu": 0.4,
     "memory": 1.28,
     "messages": 1.0,
-}  # 1 % of an assigner's budget: misses below are none
-
-
-# What a mechanism turns on where that is no axis by itself, worked out from the rules; a curve
-# along it stands for its axes'.
-HEALTH_CHECK_RATE = "questions a second"  # probes, by the rule that shares CHECKS_PER_SERVER_PER_S
-# among those who ask
-RACK_TASKS_IN_TABLES = "own tasks released"  # of a rack, that lines of one assigner name
-REPLACED_TASKS_IN_TABLES = "own tasks replaced"  # a second, the same in a calm span
+}  # 1 % of an assigner's budget; smaller errors of a prediction are ignored
+
+# Derived axes: quantities that drive a mechanism but are no axis of their own. They follow from the
+# rules of the program, and a curve along one replaces those along the axes that it is derived from.
+# Health checks per second: CHECKS_PER_SERVER_PER_S is shared among the assigners that send them.
+HEALTH_CHECK_RATE = "questions a second"
+RACK_TASKS_IN_TABLES = "own tasks released"  # of a rack, that are in one assigner's tables
+REPLACED_TASKS_IN_TABLES = "own tasks replaced"  # per second in a calm phase
 DERIVED_AXES = {
     HEALTH_CHECK_RATE: ("tasks", "assigners", "slices"),
     RACK_TASKS_IN_TABLES: ("tasks", "slices"),
@@ -55,16 +52,15 @@
 
 
 def axis_position(size: dict, axis: str) -> float:
-    """Where a size lies on an axis."""
+    """The value of a size on an axis."""
     if axis not in DERIVED_AXES:
         return size[axis]
-    named = (
-        ENTRIES_PER_TABLE * size["slices"] / size["tasks"]
-    )  # lines of one assigner for each task
+    # Table entries of one assigner per task.
+    entries_per_task = ENTRIES_PER_TABLE * size["slices"] / size["tasks"]
     if axis == HEALTH_CHECK_RATE:
-        each = CHECKS_PER_SERVER_PER_S * size["tasks"] / size["assigners"]
-        return each + min(2 * ENTRIES_PER_TABLE * size["slices"], each)
-    return named * (
+        share = CHECKS_PER_SERVER_PER_S * size["tasks"] / size["assigners"]
+        return share + min(2 * ENTRIES_PER_TABLE * size["slices"], share)
+    return entries_per_task * (
         min(RACK_TASKS, size["tasks"] // 5)
         if axis == RACK_TASKS_IN_TABLES
         else size["changes"] / 60.0
@@ -72,7 +68,7 @@
 
 
 def metric_axes(metric: str) -> dict:
-    """The axes of a metric, each with the records' roles that lie on it."""
+    """The axes of a metric, each with the roles of the records on it."""
     phase, _, rest = metric.partition("/")
     kind = rest.partition("/")[0]
     derived = HEALTH_CHECK_RATE if kind == "probes" else None
@@ -95,8 +91,8 @@
     form: str
     slope: float
     intercept: float
-    residual: float  # root of the mean square, in the metric's unit
-    low: float  # of the slope, by resampling
+    residual: float  # root mean square, in the unit of the metric
+    low: float  # bound of the slope's interval, by resampling
     high: float
     points: int
 
@@ -106,7 +102,7 @@
 
 @dataclass(frozen=True)
 class Total:
-    """The sum of other metrics."""
+    """A metric that is the sum of others."""
 
     metric: str
     parts: tuple
@@ -119,7 +115,7 @@
 
 @dataclass(frozen=True)
 class Model:
-    """One metric over all axes; `combine` says how effects of several axes go together."""
+    """A metric over all axes; `combine` says how the effects of several axes are combined."""
 
     metric: str
     base: float
@@ -127,7 +123,7 @@
     combine: str  # "sum" or "product"
 
     def predict(self, size: dict) -> float:
-        """The metric at a size: {axis: value}; axes left out are the base's."""
+        """The metric at a size, {axis: value}; missing axes have the base values."""
         origin = Size().as_dict()
         pairs = [
             (
@@ -136,33 +132,34 @@
             )
             for axis, curve in self.curves.items()
         ]
-        # The base was measured once; where curves go through it, they know it better together.
-        level = sum(here for here, _ in pairs) / len(pairs) if pairs else self.base
+        # The base was measured once; the mean of the curves there is a better estimate of it.
+        level = sum(at_base for at_base, _ in pairs) / len(pairs) if pairs else self.base
         if self.combine == "sum":
-            return max(0.0, level + sum(there - here for here, there in pairs))
-        for here, there in pairs:
-            level *= max(0.0, there) / here if here > 0 else 1.0
+            return max(0.0, level + sum(at_size - at_base for at_base, at_size in pairs))
+        for at_base, at_size in pairs:
+            level *= max(0.0, at_size) / at_base if at_base > 0 else 1.0
         return max(0.0, level)
 
 
 def record_metrics(record: dict) -> dict:
-    """All figures of one record by metric."""
+    """The values of one record by metric."""
     values = {"memory": record["memory_mb"]["assigner"]}
     for name, phase in record["phases"].items():
         for unit in ("bytes", "messages"):
             by_kind = {
-                kind: sum(phase["traffic"][kind][f"{way}_{unit}"] for way in (IN, OUT))
+                kind: sum(phase["traffic"][kind][f"{direction}_{unit}"] for direction in (IN, OUT))
                 for kind in KINDS
             }
             values |= {f"{name}/{kind}/{unit}": value for kind, value in by_kind.items()}
             values[f"{name}/{unit}"] = sum(by_kind.values())
-        # As if the machine had been as quick as at its quickest: the loop beside the run says how
-        # slow it was.
-        slowed = phase["yardstick_ms"] / REFERENCE_LOOP_MS
+        # The reference loop shows how much slower the machine was than in the fastest record.
+        # Processor times are scaled to that record.
+        slowdown = phase["yardstick_ms"] / REFERENCE_LOOP_MS
         values |= {
-            f"{name}/cpu/{activity}": spent / slowed for activity, spent in phase["cpu_ms"].items()
+            f"{name}/cpu/{activity}": spent / slowdown
+            for activity, spent in phase["cpu_ms"].items()
         }
-        values[f"{name}/cpu"] = sum(phase["cpu_ms"].values()) / slowed
+        values[f"{name}/cpu"] = sum(phase["cpu_ms"].values()) / slowdown
         values |= {
             f"{name}/{key}": phase[key] for key in ("orders", "log_bytes", "log_lines", "turns")
         }
@@ -171,7 +168,7 @@
 
 
 def least_squares(x, y) -> tuple:
-    """Least squares: slope, intercept, root of the mean square residual."""
+    """Slope, intercept and root mean square residual of the least-squares line."""
     spread = x - x.mean()
     slope = float((spread * (y - y.mean())).sum() / (spread * spread).sum())
     intercept = float(y.mean() - slope * x.mean())
@@ -179,7 +176,7 @@
 
 
 def fit_curve(axis: str, xs, ys) -> Curve:
-    """The best of the forms, its slope's interval by resampling the residuals."""
+    """The best curve of all forms; the interval of its slope comes from resampled residuals."""
     x, y = numpy.array(xs, float), numpy.array(ys, float)
     forms = FORMS if axis not in DERIVED_AXES else {"linear"}
     form = min(forms, key=lambda f: cross_validation_error(FORMS[f](x), y))
@@ -187,38 +184,39 @@
     slope, intercept, residual = least_squares(transformed, y)
     predicted, spread = intercept + slope * transformed, transformed - transformed.mean()
     errors = (y - predicted) * numpy.sqrt(len(x) / max(1, len(x) - 2))
-    drawn = predicted + numpy.random.default_rng(RESAMPLING_SEED).choice(
+    resampled = predicted + numpy.random.default_rng(RESAMPLING_SEED).choice(
         errors, (RESAMPLES, len(x))
     )
-    slopes = (spread * drawn).sum(axis=1) / (spread * spread).sum()
+    slopes = (spread * resampled).sum(axis=1) / (spread * spread).sum()
     low, high = numpy.percentile(slopes, INTERVAL_PERCENTILES)
     return Curve(axis, form, slope, intercept, residual, float(low), float(high), len(x))
 
 
 def cross_validation_error(x, y) -> float:
-    """The mean square error at points that the fit did not see, one after the other."""
+    """The mean square error of leave-one-out cross-validation."""
     total = 0.0
     for k in range(len(x)):
-        kept = numpy.arange(len(x)) != k
-        slope, intercept, _ = least_squares(x[kept], y[kept])
+        others = numpy.arange(len(x)) != k
+        slope, intercept, _ = least_squares(x[others], y[others])
         total += (y[k] - intercept - slope * x[k]) ** 2
     return total / len(x)
 
 
 def is_flat(curve: Curve, xs, base: float) -> bool:
-    """Whether the axis does nothing to the metric, as far as can be told."""
-    moved = abs(curve.value_at(max(xs)) - curve.value_at(min(xs)))
-    return moved <= FLAT_SHARE * abs(base) or curve.low <= 0.0 <= curve.high
+    """Whether the axis has no detectable effect on the metric."""
+    change = abs(curve.value_at(max(xs)) - curve.value_at(min(xs)))
+    return change <= FLAT_SHARE * abs(base) or curve.low <= 0.0 <= curve.high
 
 
-def fit_curves(metric: str, told: list) -> dict:
-    """The curve of each axis that moves the metric; `told` has (record, its metrics)."""
-    base, curves = next(values[metric] for record, values in told if record["role"] == "base"), {}
-    for axis, on_it in metric_axes(metric).items():
+def fit_curves(metric: str, measurements: list) -> dict:
+    """The curve of each axis that affects the metric; `measurements` has (record, its metrics)."""
+    base = next(values[metric] for record, values in measurements if record["role"] == "base")
+    curves = {}
+    for axis, roles in metric_axes(metric).items():
         points = [
             (axis_position(record["size"], axis), values.get(metric, 0.0))
-            for record, values in told
-            if record["role"] in ("base", *on_it)
+            for record, values in measurements
+            if record["role"] in ("base", *roles)
         ]
         if len(points) < MIN_POINTS:
             continue
@@ -230,17 +228,17 @@
 
 
 def fit_models(records: list) -> dict:
-    """A model for each metric that the base's record has; a total's is the sum of its parts'."""
-    told = [(record, record_metrics(record)) for record in records]
-    base = next((values for record, values in told if record["role"] == "base"), None)
+    """A model for each metric of the base record; a total is the sum of its parts."""
+    measurements = [(record, record_metrics(record)) for record in records]
+    base = next((values for record, values in measurements if record["role"] == "base"), None)
     if base is None:
         raise RecordError("no record of the base among these")
     models_by_metric = {}
     for metric, value in base.items():
-        curves = fit_curves(metric, told)
+        curves = fit_curves(metric, measurements)
         models_by_metric[metric] = best_model(
-            [Model(metric, value, curves, how) for how in ("sum", "product")],
-            [(r["size"], v.get(metric, 0.0)) for r, v in told if r["role"] == "pair"],
+            [Model(metric, value, curves, combine) for combine in ("sum", "product")],
+            [(r["size"], v.get(metric, 0.0)) for r, v in measurements if r["role"] == "pair"],
         )
     for metric in base:
         phase, _, unit = metric.partition("/")
@@ -270,7 +268,7 @@
 
 @dataclass(frozen=True)
 class Check:
-    """One held-out figure beside its prediction."""
+    """A held-out value and its prediction."""
 
     point: str
     metric: str
@@ -288,8 +286,8 @@
         )
 
 
-def check_predictions(records: list, fitted_models: dict, wanted) -> list:
-    """Each wanted metric at each held-out point."""
+def check_predictions(records: list, fitted_models: dict, wanted_metrics) -> list:
+    """Checks each of the metrics at each held-out point."""
     return [
         Check(
             r["point"],
@@ -299,5 +297,5 @@
         )
         for r in records
         if r["role"] == "held"
-        for metric in wanted
+        for metric in wanted_metrics
     ]
--- a/havendyke/lab/scale/page.py
+++ b/havendyke/lab/scale/page.py
@@ -1,5 +1,5 @@
-"""The tables of docs/CAPACITY.md and docs/design/capacity.md, written from the records between
-their marks."""
+"""Generates the tables of docs/CAPACITY.md and docs/design/capacity.md from the records and writes
+them between the pages' markers."""
 
 import math
 import re
@@ -69,16 +69,16 @@
 
 
 class PageError(ValueError):
-    """A page without its marks; one line."""
+    """A page with missing or unknown markers; the message is one line."""
 
 
-def markdown_table(head: list, rows: list) -> str:
-    lines = [head, ["---"] * len(head), *rows]
+def markdown_table(header: list, rows: list) -> str:
+    lines = [header, ["---"] * len(header), *rows]
     return "\n".join("| " + " | ".join(str(cell) for cell in line) + " |" for line in lines)
 
 
 def format_figure(value: float) -> str:
-    """Three digits, thousands parted by commas."""
+    """Three significant digits, with commas between thousands."""
     if value == 0:
         return "0"
     if abs(value) >= 1000:
@@ -87,12 +87,12 @@
 
 
 def format_share(value: float, budget: float) -> str:
-    part = value / budget
-    return f"{100 * part:.0f} %" if part < 10 else f"{part:.0f} times"
+    ratio = value / budget
+    return f"{100 * ratio:.0f} %" if ratio < 10 else f"{ratio:.0f} times"
 
 
 class Page:
-    """All tables, each a method's text by its mark's name."""
+    """Makes the text of every table; `tables` has them by the name of their marker."""
 
     def __init__(self, records: list):
         self.records, self.models = records, fit.fit_models(records)
@@ -100,22 +100,22 @@
 
     def tables(self) -> dict:
         return {
-            "text": self.text(),
+            "text": self.provenance(),
             "assumptions": self.assumptions(),
             "assigner": self.assigner(),
-            "kinds": self.kinds(),
+            "kinds": self.traffic_kinds(),
             "activities": self.activities(),
-            "roles": self.roles(),
+            "roles": self.other_roles(),
             "fleets": self.fleets(),
-            "beside": self.beside(),
+            "beside": self.real_assigners(),
             "slopes": self.slopes(),
-            "held-out": self.held_out(),
-            "ranges": self.ranges(),
-            "factors": self.factors(),
+            "held-out": self.held_out_errors(),
+            "ranges": self.assumption_ranges(),
+            "factors": self.extrapolation_factors(),
             "ranking": self.ranking(),
         }
 
-    def text(self) -> str:
+    def provenance(self) -> str:
         first = self.records[0]
         machine = first["machine"]
         commits = sorted({r["text"]["commit"] for r in self.records})
@@ -142,14 +142,14 @@
         )
 
     def assigner(self) -> str:
-        direct = self.nearest_record()
-        values, rows = fit.record_metrics(direct), []
-        for phase, said in roles.SITUATIONS.items():
+        nearest = self.nearest_record()
+        values, rows = fit.record_metrics(nearest), []
+        for phase, situation in roles.SITUATIONS.items():
             load = self.capacity.assigner(phase, self.size)
             run = values[f"{phase}/cpu"] * self.capacity.cpu_ratio
             rows.append(
                 [
-                    said,
+                    situation,
                     format_figure(load.messages),
                     format_figure(load.bytes),
                     format_share(load.bytes, roles.BYTES_BUDGET),
@@ -159,7 +159,7 @@
                     format_figure(run),
                 ]
             )
-        memory, ran = self.capacity.memory_mb, direct["size"]
+        memory, size = self.capacity.memory_mb, nearest["size"]
         return (
             markdown_table(
                 [
@@ -174,16 +174,15 @@
                 ],
                 rows,
             )
-            + f"\n\n*Run*: measured at `{direct['point']}` ({ran['tasks']} tasks, {ran['slices']} "
-            "slices, "
-            f"{ran['proxies']} proxies, {ran['assigners']} assigners of which {ran['hollow']} ran, "
-            f"{ran['reports']} reports a second). Memory of a real one at "
-            f"`{self.capacity.memory_point}`: "
+            + f"\n\n*Run*: measured at `{nearest['point']}` ({size['tasks']} tasks, "
+            f"{size['slices']} slices, {size['proxies']} proxies, {size['assigners']} assigners "
+            f"of which {size['hollow']} ran, {size['reports']} reports a second). Memory of a "
+            f"real one at `{self.capacity.memory_point}`: "
             f"{memory:.0f} MB, {format_share(memory, roles.MEMORY_BUDGET_MB)} of 128 MB."
         )
 
     def nearest_record(self) -> dict:
-        """The record whose size is the nearest to the target's, by factors."""
+        """The record whose size is nearest to the target, by the ratios of the axes."""
         return min(
             self.records,
             key=lambda r: sum(
@@ -192,7 +191,7 @@
             ),
         )
 
-    def kinds(self) -> str:
+    def traffic_kinds(self) -> str:
         rows = []
         for kind in KINDS:
             values = {
@@ -223,26 +222,31 @@
 
     def activities(self) -> str:
         rows = []
-        for part in ACTIVITIES:
+        for activity in ACTIVITIES:
             values = [
-                self.capacity.cpu_ratio * self.capacity.predict(f"{phase}/cpu/{part}", self.size)
+                self.capacity.cpu_ratio
+                * self.capacity.predict(f"{phase}/cpu/{activity}", self.size)
                 for phase in ("calm", "release", "zone", "start")
             ]
             rows.append(
-                [part, *map(format_figure, values), format_share(values[0], roles.CPU_BUDGET_MS)]
+                [
+                    activity,
+                    *map(format_figure, values),
+                    format_share(values[0], roles.CPU_BUDGET_MS),
+                ]
             )
         return markdown_table(
             ["activity", "calm, ms/s", "release", "zone lost", "restart", "calm of 40 ms/s"], rows
         )
 
-    def roles(self) -> str:
+    def other_roles(self) -> str:
         rows = []
-        for phase, said in roles.SITUATIONS.items():
+        for phase, situation in roles.SITUATIONS.items():
             for load in self.capacity.other_roles(phase, self.size):
                 rows.append(
                     [
                         load.role,
-                        said,
+                        situation,
                         format_figure(load.messages),
                         format_figure(load.bytes),
                         ROLE_MECHANISMS[load.role],
@@ -288,7 +292,7 @@
             rows,
         )
 
-    def beside(self) -> str:
+    def real_assigners(self) -> str:
         rows = []
         for r in (r for r in self.records if "real" in r):
             real = r["real"]
@@ -360,17 +364,17 @@
         )
 
     def check_predictions(self) -> list:
-        wanted = [f"{phase}/{unit}" for phase in roles.SITUATIONS for unit in CHECKED_METRICS]
-        return fit.check_predictions(self.records, self.models, wanted)
-
-    def held_out(self) -> str:
-        told = self.check_predictions()
-        failed = [c for c in told if not c.passed]
-        said = (
-            f"{len(told) - len(failed)} of {len(told)} predictions within 25 % or within 1 % "
+        metrics = [f"{phase}/{unit}" for phase in roles.SITUATIONS for unit in CHECKED_METRICS]
+        return fit.check_predictions(self.records, self.models, metrics)
+
+    def held_out_errors(self) -> str:
+        checks = self.check_predictions()
+        failed = [c for c in checks if not c.passed]
+        summary = (
+            f"{len(checks) - len(failed)} of {len(checks)} predictions within 25 % or within 1 % "
             "of a budget. Beyond:\n\n"
         )
-        return said + markdown_table(
+        return summary + markdown_table(
             ["point", "figure", "measured", "predicted", "miss"],
             [
                 [
@@ -384,7 +388,7 @@
             ],
         )
 
-    def ranges(self) -> str:
+    def assumption_ranges(self) -> str:
         rows = []
         for name, assumption in (
             ("proxies", roles.PROXIES),
@@ -409,7 +413,7 @@
             ["assumption", "value", "calm, bytes/s", "ms/s", "zone lost, bytes/s", "ms/s"], rows
         )
 
-    def factors(self) -> str:
+    def extrapolation_factors(self) -> str:
         rows = []
         for axis, value in self.size.items():
             largest = max(r["size"][axis] for r in self.records)
@@ -469,7 +473,7 @@
 
 
 def replace_tables(page: str, blocks: dict) -> str:
-    """The page with each marked part replaced."""
+    """The page with the text between its markers replaced."""
 
     def replace(found):
         if found["name"] not in blocks:
@@ -484,12 +488,12 @@
 
 
 def rewrite_pages(folder: Path, pages: list) -> list:
-    """Writes the pages anew from the records; returns those that changed."""
+    """Rewrites the pages' tables from the records; returns the pages that changed."""
     blocks, changed = Page(record.read_all(folder)).tables(), []
-    made = [
+    rewritten = [
         (path, replace_tables(Path(path).read_text(), blocks)) for path in pages
-    ]  # all of them, before any is written
-    for path, text in made:
+    ]  # all pages before any is written
+    for path, text in rewritten:
         if text != Path(path).read_text():
             Path(path).write_text(text)
             changed.append(str(path))
--- a/havendyke/lab/scale/roles.py
+++ b/havendyke/lab/scale/roles.py
@@ -1,18 +1,15 @@
-"""What each role has to carry at the operators' target, from the models of one assigner; every
-assumption by name."""
+"""The load of each role at the operators' target size, from the models of one assigner and named
+assumptions."""
 
 from dataclasses import dataclass
 
-# The operators' letter of 2026-12-02.
+# From the operators' requirements of 2026-12-02.
 ASSIGNERS, TASKS, ROUTES, ZONES, CONTROL_MACHINES = 780, 6_200, 8_800, 7, 6
-BYTES_BUDGET, CPU_BUDGET_MS, MEMORY_BUDGET_MB = (
-    13_000.0,
-    40.0,
-    128.0,
-)  # a second, a second, at any time
+BYTES_BUDGET, CPU_BUDGET_MS = 13_000.0, 40.0  # of an assigner, per second
+MEMORY_BUDGET_MB = 128.0  # of an assigner, at any time
 CHANGES_PER_DAY, RESTARTS_PER_DAY, CHANGE_MS = 430, 2_300, 10_000.0
 MINUTES_PER_DAY = 1_440
-CURRENT_SIZE = {"tasks": 200, "assigners": 5}  # the largest fleet that the bench has played
+CURRENT_SIZE = {"tasks": 200, "assigners": 5}  # the largest fleet in the benchmarks
 
 SITUATIONS = {
     "calm": "calm",
@@ -26,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Assumption:
-    """What the letter leaves open: the value gone by, and the range in which it may lie."""
+    """A figure that the requirements leave open: the value used, and its possible range."""
 
     name: str
     value: float
@@ -85,7 +82,7 @@
 
 
 def target_size() -> dict:
-    """The letter's size in the axes of a run."""
+    """The size in the requirements, by the axes of a run."""
     return {
         "tasks": TASKS,
         "slices": SLICES.value,
@@ -99,18 +96,17 @@
 
 
 def size_between(progress: float) -> dict:
-    """A size between today's (0) and the target (1), tasks and assigners growing by equal factors
-    in equal parts."""
+    """A size between the current one (0) and the target (1), with geometric interpolation of the
+    tasks and assigners."""
     size = target_size()
-    for axis, now in CURRENT_SIZE.items():
-        size[axis] = now * (size[axis] / now) ** progress
+    for axis, current in CURRENT_SIZE.items():
+        size[axis] = current * (size[axis] / current) ** progress
     return size
 
 
 @dataclass(frozen=True)
 class Load:
-    """What a role carries in one situation; `cpu_ms` None: its processor time is not the
-    program's."""
+    """The load of a role in one situation; `cpu_ms` is None for roles other than the assigner."""
 
     role: str
     situation: str
@@ -120,23 +116,21 @@
 
 
 class Capacity:
-    """Models of one assigner and the real ones' ratio, read at any size."""
+    """Predicts loads at any size from the models of an assigner and the CPU ratio of real ones."""
 
     def __init__(self, models: dict, records: list):
         self.models, self.records = models, records
         with_real = [r for r in records if "real" in r]
         largest = max(with_real, key=lambda r: r["size"]["tasks"] * r["size"]["proxies"])
-        self.cpu_ratio, self.memory_mb = (
-            largest["real"]["cpu_real_over_hollow"],
-            largest["real"]["memory_mb"],
-        )
+        self.cpu_ratio = largest["real"]["cpu_real_over_hollow"]
+        self.memory_mb = largest["real"]["memory_mb"]
         self.memory_point = largest["point"]
 
     def predict(self, metric: str, size: dict) -> float:
         return self.models[metric].predict(size)
 
     def real_cpu_ms(self, phase: str, size: dict) -> float:
-        """Processor time of a real assigner, ms a second."""
+        """Processor time of a real assigner, ms per second."""
         return self.cpu_ratio * self.predict(f"{phase}/cpu", size)
 
     def assigner(self, phase: str, size: dict) -> Load:
@@ -152,12 +146,10 @@
         return self.predict(f"{phase}/{kind}/{unit}", size)
 
     def other_roles(self, phase: str, size: dict) -> list:
-        """The other roles in one situation, all assigners together."""
+        """The loads of the other roles in one situation, caused by all assigners together."""
         count = size["assigners"]
-        pushes, orders = (
-            count * self.predict(f"{phase}/calls/sent", size),
-            count * self.predict(f"{phase}/orders", size),
-        )
+        pushes = count * self.predict(f"{phase}/calls/sent", size)
+        orders = count * self.predict(f"{phase}/orders", size)
 
         def total(unit, *kinds):
             return sum(self.traffic(phase, kind, unit, size) for kind in kinds)
@@ -217,32 +209,32 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A mechanism that may be missing: what it would carry, against which budget."""
+    """A possible improvement: the metrics that it would reduce, and their budget."""
 
     name: str
     phase: str
     metrics: tuple
     budget: float
     unit: str  # "bytes", or "ms" of a real assigner
-    time_share: float  # of the time, that the situation lasts
+    time_share: float  # share of the time for which the situation lasts
     harm: str
     mechanism: str
 
     def weight(self, capacity: Capacity, size: dict) -> float:
-        """The share of the budget, by the part of the time that it is taken."""
+        """The share of the budget, weighted by the share of the time."""
         return self.time_share * self.share(capacity, size)
 
     def value(self, capacity: Capacity, size: dict) -> float:
-        """What it takes a second, in its unit."""
-        made = sum(capacity.predict(metric, size) for metric in self.metrics)
-        return made * (capacity.cpu_ratio if self.unit == "ms" else 1.0)
+        """The cost per second, in `unit`."""
+        value = sum(capacity.predict(metric, size) for metric in self.metrics)
+        return value * (capacity.cpu_ratio if self.unit == "ms" else 1.0)
 
     def share(self, capacity: Capacity, size: dict) -> float:
         return self.value(capacity, size) / self.budget
 
     def exhausted_at(self, capacity: Capacity, steps: int = 400):
-        """The assigners and tasks on the way at which it takes its whole budget; None: at none up
-        to the target."""
+        """The smallest size between the current one and the target at which the cost reaches the
+        whole budget, as (assigners, tasks); None if there is none."""
         for step in range(steps + 1):
             size = size_between(step / steps)
             if self.share(capacity, size) >= 1.0:
@@ -250,11 +242,9 @@
         return None
 
 
-ALL_THE_TIME, MINUTE_PER_WEEK, TWO_MINUTES_PER_YEAR = (
-    1.0,
-    1 / (7 * MINUTES_PER_DAY),
-    2 / (365 * MINUTES_PER_DAY),
-)
+ALL_THE_TIME = 1.0
+MINUTE_PER_WEEK = 1 / (7 * MINUTES_PER_DAY)
+TWO_MINUTES_PER_YEAR = 2 / (365 * MINUTES_PER_DAY)  # twice a year, a minute each
 RECONCILIATION_METRICS = tuple(
     f"calm/cpu/{activity}" for activity in ("judge", "shed", "plan", "emit", "ask", "turn")
 )
--- a/tests/lab/test_scale_run.py
+++ b/tests/lab/test_scale_run.py
@@ -1,8 +1,8 @@
-"""A small fleet in the run itself: what it counts is the same every time, and grows no faster than
-it may.
+"""Costs of a small fleet: they are reproducible and grow no faster than allowed.
 
-Bytes, messages and instructions are counted, never times: a turn that became square in the tasks,
-or a message that grew with what it need not, fails here."""
+The tests count bytes, messages and bytecode instructions, never times. They fail if a
+reconciliation becomes quadratic in the tasks, or if a message grows with an axis that it does not
+depend on."""
 
 from dataclasses import replace
 from functools import cache
@@ -16,50 +16,50 @@
 from havendyke.lab.scale.size import Size
 
 SMALL = Size(tasks=60, slices=4, proxies=12, assigners=6, zones=3, reports=12, changes=30, hollow=2)
-DOUBLE, MANY = 2.0, 240
-# a line makes two of it at most; a light square beside a line this and more, where there are many
-SQUARE = 2.3
+DOUBLE, MANY_TASKS = 2.0, 240
+# When an axis is doubled, a linear cost at most doubles; a linear cost with a small quadratic part
+# grows by this factor or more at a large size.
+QUADRATIC_GROWTH = 2.3
 
 
-def scenario(**more):
-    made = Scenario(Fleet(replace(SMALL, **more), 3), range(2), SHORT_PHASES)
-    made.run()
-    return made
+def run_scenario(**axes):
+    scenario = Scenario(Fleet(replace(SMALL, **axes), 3), range(2), SHORT_PHASES)
+    scenario.run()
+    return scenario
 
 
 @cache
-def counted(**more) -> dict:
-    """Bytes and messages of each phase and kind, and the interpreter's instructions of a calm
-    second."""
-    run = scenario(**more)
-    made = {
+def count(**axes) -> dict:
+    """Bytes and messages of each phase and kind, and the bytecode instructions of a calm second."""
+    run = run_scenario(**axes)
+    counts = {
         (phase, kind, unit): sum(
-            told["traffic"][kind].get(f"{way}_{unit}", 0) for way in ("in", "out")
+            measured["traffic"][kind].get(f"{direction}_{unit}", 0) for direction in ("in", "out")
         )
-        for phase, told in run.measured.items()
-        for kind in told["traffic"]
+        for phase, measured in run.measured.items()
+        for kind in measured["traffic"]
         for unit in ("bytes", "messages")
     }
-    with InstructionCounter() as operations:
+    with InstructionCounter() as instructions:
         run.run_second(SHORT_PHASES[2], 0)
-    return made | {"operations": operations.count}
+    return counts | {"instructions": instructions.count}
 
 
-def grown(axis: str, key) -> float:
-    """What becomes of a count when the axis is doubled."""
-    return counted(**{axis: 2 * getattr(SMALL, axis)})[key] / counted()[key]
+def growth(axis: str, key) -> float:
+    """The factor by which a count grows when the axis is doubled."""
+    return count(**{axis: 2 * getattr(SMALL, axis)})[key] / count()[key]
 
 
-def test_the_same_seed_counts_the_same():
-    one, other = scenario(), scenario()
-    assert [p["traffic"] for p in one.measured.values()] == [
-        p["traffic"] for p in other.measured.values()
+def test_the_same_seed_gives_the_same_counts():
+    first, second = run_scenario(), run_scenario()
+    assert [p["traffic"] for p in first.measured.values()] == [
+        p["traffic"] for p in second.measured.values()
     ]
-    assert [p["calls"] for p in one.measured.values()] == [
-        p["calls"] for p in other.measured.values()
+    assert [p["calls"] for p in first.measured.values()] == [
+        p["calls"] for p in second.measured.values()
     ]
-    assert [p["taken_ms"] for p in one.measured.values()] == [
-        p["taken_ms"] for p in other.measured.values()
+    assert [p["taken_ms"] for p in first.measured.values()] == [
+        p["taken_ms"] for p in second.measured.values()
     ]
 
 
@@ -81,29 +81,32 @@
     ],
 )
 def test_bytes_and_messages_grow_no_faster_than_their_axis(axis, key, most):
-    before = counted()[key]
-    assert counted(**{axis: 2 * getattr(SMALL, axis)})[key] <= most * before
+    before = count()[key]
+    assert count(**{axis: 2 * getattr(SMALL, axis)})[key] <= most * before
 
 
 @pytest.mark.parametrize("axis", ["slices", "proxies", "reports", "assigners", "changes"])
-def test_no_axis_makes_a_second_of_turns_square(axis):
-    assert grown(axis, "operations") < SQUARE
+def test_no_axis_makes_the_reconciliations_of_a_second_quadratic(axis):
+    assert growth(axis, "instructions") < QUADRATIC_GROWTH
 
 
-def test_tasks_do_not_make_a_second_of_turns_square():
-    assert counted(tasks=2 * MANY)["operations"] / counted(tasks=MANY)["operations"] < SQUARE
+def test_tasks_do_not_make_the_reconciliations_of_a_second_quadratic():
+    assert (
+        count(tasks=2 * MANY_TASKS)["instructions"] / count(tasks=MANY_TASKS)["instructions"]
+        < QUADRATIC_GROWTH
+    )
 
 
 @pytest.mark.parametrize(
     "phase, kind, most", [("calm", "probes", 70), ("calm", "list", 90), ("start", "watch", 90)]
 )
-def test_a_question_of_ours_stays_short(phase, kind, most):
-    sent = scenario().measured[phase]["traffic"][kind]
+def test_a_request_of_the_assigner_stays_short(phase, kind, most):
+    sent = run_scenario().measured[phase]["traffic"][kind]
     assert 0 < sent["out_bytes"] <= most * sent["out_messages"]
 
 
-def test_an_order_of_ours_stays_short():
-    run = scenario().measured["release"]
+def test_an_order_stays_short():
+    run = run_scenario().measured["release"]
     assert (
         0
         < run["traffic"]["calls"]["out_bytes"]
@@ -111,12 +114,12 @@
     )
 
 
-def test_what_a_calm_second_costs_stays_within_its_bound():
-    # Counted with Python 3.11; a tenth above what it was when this was written.
-    assert counted()["operations"] < 1_370_000
+def test_the_cost_of_a_calm_second_stays_within_its_bound():
+    # Bytecode counts depend on the interpreter: the bound is for Python 3.11, with a tenth spare.
+    assert count()["instructions"] < 1_370_000
 
 
-def test_a_turn_that_becomes_square_is_found(monkeypatch):
+def test_a_reconciliation_that_becomes_quadratic_is_detected(monkeypatch):
     source = (
         "def compare_all(controller, evaluate):\n for one in controller.servers:\n"
         "  for other in controller.servers:\n   one.id == other.id\n evaluate(controller)"
@@ -125,7 +128,7 @@
     exec(compile(source, f"{PACKAGE_ROOT}/square.py", "exec"), names)
     replace_health_evaluation(monkeypatch, names["compare_all"])
     assert (
-        counted.__wrapped__(tasks=2 * MANY)["operations"]
-        / counted.__wrapped__(tasks=MANY)["operations"]
-        > SQUARE
+        count.__wrapped__(tasks=2 * MANY_TASKS)["instructions"]
+        / count.__wrapped__(tasks=MANY_TASKS)["instructions"]
+        > QUADRATIC_GROWTH
     )
--- a/tests/lab/test_scale_tools.py
+++ b/tests/lab/test_scale_tools.py
@@ -1,5 +1,5 @@
-"""The tools of a scale run: slopes of known figures, records, pages, and every wrong call as one
-line with status 2."""
+"""The tools of scale runs: curves of known data, records, pages, and invalid calls, each of which
+ends with one line and status 2."""
 
 import json
 import subprocess
@@ -19,10 +19,12 @@
 
 
 @pytest.mark.parametrize("form", fit.FORMS)
-def test_a_form_is_told_from_the_others_and_its_slope_lies_in_the_interval(form):
-    shaped = fit.FORMS[form](numpy.array(SIZES))
-    noise = 0.002 * (shaped.max() - shaped.min()) * numpy.array([1.0, -1.0, 0.5, -1.0, 0.5])
-    curve = fit.fit_curve("tasks", SIZES, 5 + 3 * shaped + noise)
+def test_the_form_of_a_curve_is_recognized_and_its_slope_lies_in_the_interval(form):
+    transformed = fit.FORMS[form](numpy.array(SIZES))
+    noise = (
+        0.002 * (transformed.max() - transformed.min()) * numpy.array([1.0, -1.0, 0.5, -1.0, 0.5])
+    )
+    curve = fit.fit_curve("tasks", SIZES, 5 + 3 * transformed + noise)
     assert curve.form == form and curve.low <= 3 <= curve.high and curve.points == 5
 
 
@@ -32,13 +34,13 @@
     )
 
 
-def test_effects_of_two_axes_go_together_as_the_pairs_say():
+def test_the_pairs_decide_how_the_effects_of_two_axes_combine():
     curves = {
         axis: fit.Curve(axis, "linear", 1.0, 1000.0 - getattr(Size(), axis), 0.0, 1.0, 1.0, 5)
         for axis in ("tasks", "proxies")
     }
     size = {"tasks": 800, "proxies": 200}
-    both = [fit.Model("calm/bytes", 1000.0, curves, how) for how in ("sum", "product")]
+    both = [fit.Model("calm/bytes", 1000.0, curves, combine) for combine in ("sum", "product")]
     assert [m.predict(size) for m in both] == pytest.approx([1500.0, 1540.0])
     assert (
         fit.best_model(both, [(size, 1545.0)]).combine == "product"
@@ -49,11 +51,11 @@
 @pytest.mark.parametrize(
     "measured, predicted, passed", [(1000, 1240, True), (1000, 1260, False), (10, 60, True)]
 )
-def test_a_prediction_may_miss_by_a_quarter_or_by_what_is_nothing(measured, predicted, passed):
+def test_a_prediction_may_err_by_a_quarter_or_by_a_negligible_amount(measured, predicted, passed):
     assert fit.Check("held-1", "calm/bytes", measured, predicted).passed == passed
 
 
-def test_the_plan_has_four_sizes_of_each_axis_beside_the_base_and_keeps_points_apart():
+def test_the_plan_has_several_sizes_of_each_axis_and_unique_point_names():
     roles = [p.role for p in plan()]
     assert (
         all(roles.count(axis) >= 3 for axis in AXES)
@@ -66,12 +68,12 @@
 
 
 def test_every_assigner_is_run_by_one_worker():
-    told = distribute_assigners(Size(assigners=100, hollow=7), 3)
-    assert sorted(k for numbers in told for k in numbers) == [14 * k for k in range(7)]
+    numbers_by_worker = distribute_assigners(Size(assigners=100, hollow=7), 3)
+    assert sorted(k for numbers in numbers_by_worker for k in numbers) == [14 * k for k in range(7)]
 
 
 @pytest.mark.parametrize(
-    "axes, said",
+    "axes, message",
     [
         ({"task": 5}, "no axis is named 'task'"),
         ({"tasks": 10**8}, "goes from 8 to"),
@@ -79,18 +81,18 @@
         ({"slices": 9999, "assigners": 4096}, "are more than 65534 tables"),
     ],
 )
-def test_a_size_that_is_none_is_refused(axes, said):
-    with pytest.raises(SizeError, match=said):
+def test_an_invalid_size_is_rejected(axes, message):
+    with pytest.raises(SizeError, match=message):
         read_size(axes)
 
 
-def call(capsys, *words):
-    status = main(["lab", "scale", *words])
+def call_scale(capsys, *args):
+    status = main(["lab", "scale", *args])
     return status, capsys.readouterr().err
 
 
 @pytest.mark.parametrize(
-    "words, said",
+    "args, message",
     [
         (["run", "nosuch=3"], "no axis is named 'nosuch'"),
         (["run", "tasks"], "an axis is NAME=NUMBER"),
@@ -106,14 +108,14 @@
         (["nosuch"], "No such command"),
     ],
 )
-def test_a_wrong_call_is_one_line_and_status_2(capsys, words, said):
-    status, err = call(capsys, *words)
-    assert status == 2 and said in err and err.count("\n") == 1
+def test_an_invalid_call_ends_with_one_line_and_status_2(capsys, args, message):
+    status, err = call_scale(capsys, *args)
+    assert status == 2 and message in err and err.count("\n") == 1
 
 
 def test_a_record_is_never_overwritten(capsys, tmp_path):
     (tmp_path / "mine.json").write_text("kept")
-    status, err = call(capsys, "run", "--into", str(tmp_path), "--name", "mine")
+    status, err = call_scale(capsys, "run", "--into", str(tmp_path), "--name", "mine")
     assert (
         status == 2
         and "nothing was overwritten" in err
@@ -123,16 +125,16 @@
         record.write(tmp_path, "mine", {})
 
 
-def copies(tmp_path, **more):
-    """Two of the repository's records, the second changed."""
-    one, other = (record.read(path) for path in sorted(capacity.RECORDS.glob("*.json"))[:2])
-    (tmp_path / "a.json").write_text(json.dumps(one))
-    (tmp_path / "b.json").write_text(json.dumps(other | more))
+def copy_records(tmp_path, **fields):
+    """Copies two of the repository's records, the second with some fields changed."""
+    first, second = (record.read(path) for path in sorted(capacity.RECORDS.glob("*.json"))[:2])
+    (tmp_path / "a.json").write_text(json.dumps(first))
+    (tmp_path / "b.json").write_text(json.dumps(second | fields))
     return str(tmp_path)
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
         ('{"form":', "not JSON"),
         ("[]", "not a record"),
@@ -140,18 +142,20 @@
         ('{"form":"havendyke scale 2"}', "not a record"),
     ],
 )
-def test_a_broken_record_is_one_line_and_the_pages_stay(tmp_path, capsys, text, said):
+def test_an_invalid_record_is_reported_in_one_line_and_the_pages_stay(
+    tmp_path, capsys, text, message
+):
     (tmp_path / "base.json").write_text(text)
     before = [path.read_text() for path in capacity.PAGES]
-    for what in ("--fit", "--page"):
-        assert capacity.main([what, "--records", str(tmp_path)]) == 2
+    for option in ("--fit", "--page"):
+        assert capacity.main([option, "--records", str(tmp_path)]) == 2
         err = capsys.readouterr().err
-        assert said in err and err.count("\n") == 1
+        assert message in err and err.count("\n") == 1
     assert [path.read_text() for path in capacity.PAGES] == before
 
 
-def test_records_of_two_texts_do_not_go_together(tmp_path, capsys):
-    folder = copies(tmp_path, text={"commit": "0" * 12, "sources": "0" * 16})
+def test_records_of_different_sources_are_not_combined(tmp_path, capsys):
+    folder = copy_records(tmp_path, text={"commit": "0" * 12, "sources": "0" * 16})
     assert (
         capacity.main(["--fit", "--records", folder]) == 2
         and "of another text than" in capsys.readouterr().err
@@ -159,10 +163,10 @@
 
 
 @pytest.mark.parametrize(
-    "words", [["--fit", "--page"], ["--nosuch"], [], ["--fit", "--records", "/nonexistent"]]
+    "args", [["--fit", "--page"], ["--nosuch"], [], ["--fit", "--records", "/nonexistent"]]
 )
-def test_a_wrong_call_of_the_fit_is_one_line(capsys, words):
-    assert capacity.main(words) == 2
+def test_an_invalid_call_of_the_capacity_benchmark_is_reported_in_one_line(capsys, args):
+    assert capacity.main(args) == 2
     out, err = capsys.readouterr()
     assert not out and err.count("\n") == 1
 
@@ -181,7 +185,7 @@
     assert marked == set(blocks)
 
 
-def test_no_record_names_a_machine_or_a_path():
+def test_no_record_identifies_a_machine_or_a_path():
     for path in capacity.RECORDS.glob("*.json"):
         assert "/home" not in path.read_text() and set(record.read(path)["machine"]) == {
             "cores",
@@ -190,19 +194,19 @@
         }
 
 
-def test_a_page_without_its_marks_is_refused():
+def test_a_page_without_its_markers_is_rejected():
     with pytest.raises(page.PageError):
         page.replace_tables("# Capacity\n", {})
     with pytest.raises(page.PageError, match="nosuch"):
         page.replace_tables("<!-- begin nosuch -->\n<!-- end nosuch -->", {})
 
 
-def test_other_benchmarks_still_take_their_name_alone():
-    told = subprocess.run(
+def test_other_benchmarks_take_no_options():
+    completed = subprocess.run(
         [sys.executable, "-m", "benchmarks", "recovery", "--fit"],
         cwd=Path(capacity.__file__).parents[1],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert told.returncode == 2 and "takes no options" in told.stderr
+    assert completed.returncode == 2 and "takes no options" in completed.stderr
