--- a/havendyke/lab/scale/page.py
+++ b/havendyke/lab/scale/page.py
@@ -1,5 +1,5 @@
-"""The tables of docs/CAPACITY.md and docs/design/capacity.md, written from the records between
-their marks."""
+"""Generates the tables of docs/CAPACITY.md and docs/design/capacity.md from the records and writes
+them between the pages' markers."""
 
 import math
 import re
@@ -8,8 +8,8 @@
 from . import fit, record, roles
 from .meter import KINDS
 
-MARK = re.compile(r"<!-- begin (?P<name>[a-z-]+) -->\n.*?<!-- end (?P=name) -->", re.DOTALL)
-PARTS = ("judge", "plan", "emit", "ask", "turn", "parse", "send", "timers")
+TABLE_MARKER = re.compile(r"<!-- begin (?P<name>[a-z-]+) -->\n.*?<!-- end (?P=name) -->", re.DOTALL)
+ACTIVITIES = ("judge", "plan", "emit", "ask", "turn", "parse", "send", "timers")
 MECHANISMS = {
     "list": (
         "the whole list each 3 s (`net/discovery.py`)",
@@ -37,8 +37,16 @@
     "control machine": "relay, store and discovery in even parts on six",
     "operator's tools": "the log, with limits a second",
 }
-CHECKED = ("bytes", "list/bytes", "reports/bytes", "probes/bytes", "news/bytes", "messages", "cpu")
-SLOPES = (
+CHECKED_METRICS = (
+    "bytes",
+    "list/bytes",
+    "reports/bytes",
+    "probes/bytes",
+    "news/bytes",
+    "messages",
+    "cpu",
+)
+SLOPE_METRICS = (
     "calm/list/bytes",
     "calm/reports/bytes",
     "calm/probes/bytes",
@@ -60,17 +68,17 @@
 )
 
 
-class BadPage(ValueError):
-    """A page without its marks; one line."""
+class PageError(ValueError):
+    """A page with missing or unknown markers; the message is one line."""
 
 
-def table(head: list, rows: list) -> str:
-    lines = [head, ["---"] * len(head), *rows]
+def markdown_table(header: list, rows: list) -> str:
+    lines = [header, ["---"] * len(header), *rows]
     return "\n".join("| " + " | ".join(str(cell) for cell in line) + " |" for line in lines)
 
 
-def figure(value: float) -> str:
-    """Three digits, thousands parted by commas."""
+def format_figure(value: float) -> str:
+    """Three significant digits, with commas between thousands."""
     if value == 0:
         return "0"
     if abs(value) >= 1000:
@@ -78,36 +86,36 @@
     return f"{value:.3g}"
 
 
-def share(value: float, budget: float) -> str:
-    part = value / budget
-    return f"{100 * part:.0f} %" if part < 10 else f"{part:.0f} times"
+def format_share(value: float, budget: float) -> str:
+    ratio = value / budget
+    return f"{100 * ratio:.0f} %" if ratio < 10 else f"{ratio:.0f} times"
 
 
 class Page:
-    """All tables, each a method's text by its mark's name."""
+    """Makes the text of every table; `tables` has them by the name of their marker."""
 
     def __init__(self, records: list):
-        self.records, self.models = records, fit.models(records)
-        self.capacity, self.size = roles.Capacity(self.models, records), roles.target()
+        self.records, self.models = records, fit.fit_models(records)
+        self.capacity, self.size = roles.Capacity(self.models, records), roles.target_size()
 
-    def blocks(self) -> dict:
+    def tables(self) -> dict:
         return {
-            "text": self.text(),
+            "text": self.provenance(),
             "assumptions": self.assumptions(),
             "assigner": self.assigner(),
-            "kinds": self.kinds(),
+            "kinds": self.traffic_kinds(),
             "activities": self.activities(),
-            "roles": self.roles(),
+            "roles": self.other_roles(),
             "fleets": self.fleets(),
-            "beside": self.beside(),
+            "beside": self.real_assigners(),
             "slopes": self.slopes(),
-            "held-out": self.held_out(),
-            "ranges": self.ranges(),
-            "factors": self.factors(),
+            "held-out": self.held_out_errors(),
+            "ranges": self.assumption_ranges(),
+            "factors": self.extrapolation_factors(),
             "ranking": self.ranking(),
         }
 
-    def text(self) -> str:
+    def provenance(self) -> str:
         first = self.records[0]
         machine = first["machine"]
         commits = sorted({r["text"]["commit"] for r in self.records})
@@ -120,35 +128,40 @@
         )
 
     def assumptions(self) -> str:
-        return table(
+        return markdown_table(
             ["assumption", "value", "range", "why"],
             [
-                [a.name, figure(a.value), f"{figure(a.least)} to {figure(a.most)}", a.why]
+                [
+                    a.name,
+                    format_figure(a.value),
+                    f"{format_figure(a.minimum)} to {format_figure(a.maximum)}",
+                    a.reason,
+                ]
                 for a in roles.ASSUMPTIONS
             ],
         )
 
     def assigner(self) -> str:
-        direct = self.nearest()
-        values, rows = fit.metrics(direct), []
-        for phase, said in roles.SITUATIONS.items():
+        nearest = self.nearest_record()
+        values, rows = fit.record_metrics(nearest), []
+        for phase, situation in roles.SITUATIONS.items():
             load = self.capacity.assigner(phase, self.size)
             run = values[f"{phase}/cpu"] * self.capacity.cpu_ratio
             rows.append(
                 [
-                    said,
-                    figure(load.messages),
-                    figure(load.bytes),
-                    share(load.bytes, roles.BYTES_BUDGET),
-                    figure(values[f"{phase}/bytes"]),
-                    figure(load.cpu_ms),
-                    share(load.cpu_ms, roles.CPU_BUDGET_MS),
-                    figure(run),
+                    situation,
+                    format_figure(load.messages),
+                    format_figure(load.bytes),
+                    format_share(load.bytes, roles.BYTES_BUDGET),
+                    format_figure(values[f"{phase}/bytes"]),
+                    format_figure(load.cpu_ms),
+                    format_share(load.cpu_ms, roles.CPU_BUDGET_MS),
+                    format_figure(run),
                 ]
             )
-        memory, ran = self.capacity.memory_mb, direct["size"]
+        memory, size = self.capacity.memory_mb, nearest["size"]
         return (
-            table(
+            markdown_table(
                 [
                     "situation",
                     "messages/s",
@@ -161,16 +174,15 @@
                 ],
                 rows,
             )
-            + f"\n\n*Run*: measured at `{direct['point']}` ({ran['tasks']} tasks, {ran['slices']} "
-            "slices, "
-            f"{ran['proxies']} proxies, {ran['assigners']} assigners of which {ran['hollow']} ran, "
-            f"{ran['reports']} reports a second). Memory of a real one at "
-            f"`{self.capacity.memory_point}`: "
-            f"{memory:.0f} MB, {share(memory, roles.MEMORY_BUDGET_MB)} of 128 MB."
+            + f"\n\n*Run*: measured at `{nearest['point']}` ({size['tasks']} tasks, "
+            f"{size['slices']} slices, {size['proxies']} proxies, {size['assigners']} assigners "
+            f"of which {size['hollow']} ran, {size['reports']} reports a second). Memory of a "
+            f"real one at `{self.capacity.memory_point}`: "
+            f"{memory:.0f} MB, {format_share(memory, roles.MEMORY_BUDGET_MB)} of 128 MB."
         )
 
-    def nearest(self) -> dict:
-        """The record whose size is the nearest to the target's, by factors."""
+    def nearest_record(self) -> dict:
+        """The record whose size is nearest to the target, by the ratios of the axes."""
         return min(
             self.records,
             key=lambda r: sum(
@@ -179,22 +191,22 @@
             ),
         )
 
-    def kinds(self) -> str:
+    def traffic_kinds(self) -> str:
         rows = []
         for kind in KINDS:
             values = {
-                phase: self.capacity.of(phase, kind, "bytes", self.size)
+                phase: self.capacity.traffic(phase, kind, "bytes", self.size)
                 for phase in ("calm", "release", "zone", "start")
             }
             rows.append(
                 [
                     kind,
-                    *(figure(v) for v in values.values()),
-                    share(values["calm"], roles.BYTES_BUDGET),
+                    *(format_figure(v) for v in values.values()),
+                    format_share(values["calm"], roles.BYTES_BUDGET),
                     *MECHANISMS[kind],
                 ]
             )
-        return table(
+        return markdown_table(
             [
                 "kind",
                 "calm, bytes/s",
@@ -210,31 +222,38 @@
 
     def activities(self) -> str:
         rows = []
-        for part in PARTS:
+        for activity in ACTIVITIES:
             values = [
-                self.capacity.cpu_ratio * self.capacity.at(f"{phase}/cpu/{part}", self.size)
+                self.capacity.cpu_ratio
+                * self.capacity.predict(f"{phase}/cpu/{activity}", self.size)
                 for phase in ("calm", "release", "zone", "start")
             ]
-            rows.append([part, *map(figure, values), share(values[0], roles.CPU_BUDGET_MS)])
-        return table(
+            rows.append(
+                [
+                    activity,
+                    *map(format_figure, values),
+                    format_share(values[0], roles.CPU_BUDGET_MS),
+                ]
+            )
+        return markdown_table(
             ["activity", "calm, ms/s", "release", "zone lost", "restart", "calm of 40 ms/s"], rows
         )
 
-    def roles(self) -> str:
+    def other_roles(self) -> str:
         rows = []
-        for phase, said in roles.SITUATIONS.items():
-            for load in self.capacity.others(phase, self.size):
+        for phase, situation in roles.SITUATIONS.items():
+            for load in self.capacity.other_roles(phase, self.size):
                 rows.append(
                     [
                         load.role,
-                        said,
-                        figure(load.messages),
-                        figure(load.bytes),
+                        situation,
+                        format_figure(load.messages),
+                        format_figure(load.bytes),
                         ROLE_MECHANISMS[load.role],
                     ]
                 )
         rows.sort(key=lambda row: list(ROLE_MECHANISMS).index(row[0]))
-        return table(
+        return markdown_table(
             ["role", "situation", "messages/s", "bytes/s", "mechanism, all in force"], rows
         )
 
@@ -253,11 +272,11 @@
                         times["count"],
                         *(times.get(k, "-") for k in ("median", "p99", "last")),
                         p["unfinished"],
-                        figure(p["asked_most"]),
-                        figure(p["fullest_fresh"]) if phase == "release" else "-",
+                        format_figure(p["asked_most"]),
+                        format_figure(p["fullest_fresh"]) if phase == "release" else "-",
                     ]
                 )
-        return table(
+        return markdown_table(
             [
                 "assigners, all run",
                 "tasks",
@@ -273,7 +292,7 @@
             rows,
         )
 
-    def beside(self) -> str:
+    def real_assigners(self) -> str:
         rows = []
         for r in (r for r in self.records if "real" in r):
             real = r["real"]
@@ -293,12 +312,12 @@
                     real["count"],
                     ", ".join(ratios),
                     f"{min(counts):.2f} to {max(counts):.2f}",
-                    figure(real["cpu_ms"]),
+                    format_figure(real["cpu_ms"]),
                     f"{real['cpu_real_over_hollow']:.2f}",
-                    figure(real["memory_mb"]),
+                    format_figure(real["memory_mb"]),
                 ]
             )
-        return table(
+        return markdown_table(
             [
                 "point",
                 "real ones",
@@ -313,7 +332,7 @@
 
     def slopes(self) -> str:
         rows = []
-        for metric in SLOPES:
+        for metric in SLOPE_METRICS:
             model = self.models[metric]
             for curve in model.curves.values():
                 rows.append(
@@ -321,15 +340,15 @@
                         f"`{metric}`",
                         curve.axis,
                         curve.form,
-                        figure(curve.slope),
-                        f"{figure(curve.low)} to {figure(curve.high)}",
-                        figure(curve.intercept),
-                        figure(curve.residual),
+                        format_figure(curve.slope),
+                        f"{format_figure(curve.low)} to {format_figure(curve.high)}",
+                        format_figure(curve.intercept),
+                        format_figure(curve.residual),
                         curve.points,
                         model.combine,
                     ]
                 )
-        return table(
+        return markdown_table(
             [
                 "figure",
                 "axis",
@@ -344,32 +363,32 @@
             rows,
         )
 
-    def checked(self) -> list:
-        wanted = [f"{phase}/{unit}" for phase in roles.SITUATIONS for unit in CHECKED]
-        return fit.checks(self.records, self.models, wanted)
+    def check_predictions(self) -> list:
+        metrics = [f"{phase}/{unit}" for phase in roles.SITUATIONS for unit in CHECKED_METRICS]
+        return fit.check_predictions(self.records, self.models, metrics)
 
-    def held_out(self) -> str:
-        told = self.checked()
-        failed = [c for c in told if not c.passed]
-        said = (
-            f"{len(told) - len(failed)} of {len(told)} predictions within 25 % or within 1 % "
+    def held_out_errors(self) -> str:
+        checks = self.check_predictions()
+        failed = [c for c in checks if not c.passed]
+        summary = (
+            f"{len(checks) - len(failed)} of {len(checks)} predictions within 25 % or within 1 % "
             "of a budget. Beyond:\n\n"
         )
-        return said + table(
+        return summary + markdown_table(
             ["point", "figure", "measured", "predicted", "miss"],
             [
                 [
                     c.point,
                     f"`{c.metric}`",
-                    figure(c.measured),
-                    figure(c.predicted),
-                    f"{100 * c.miss:+.0f} %",
+                    format_figure(c.measured),
+                    format_figure(c.predicted),
+                    f"{100 * c.relative_error:+.0f} %",
                 ]
                 for c in failed
             ],
         )
 
-    def ranges(self) -> str:
+    def assumption_ranges(self) -> str:
         rows = []
         for name, assumption in (
             ("proxies", roles.PROXIES),
@@ -377,57 +396,67 @@
             ("slices", roles.SLICES),
             ("classes", roles.CLASSES),
         ):
-            for value in (assumption.least, assumption.value, assumption.most):
+            for value in (assumption.minimum, assumption.value, assumption.maximum):
                 size = {**self.size, name: value}
                 calm, zone = (self.capacity.assigner(phase, size) for phase in ("calm", "zone"))
                 rows.append(
                     [
                         name,
-                        figure(value),
-                        figure(calm.bytes),
-                        figure(calm.cpu_ms),
-                        figure(zone.bytes),
-                        figure(zone.cpu_ms),
+                        format_figure(value),
+                        format_figure(calm.bytes),
+                        format_figure(calm.cpu_ms),
+                        format_figure(zone.bytes),
+                        format_figure(zone.cpu_ms),
                     ]
                 )
-        return table(
+        return markdown_table(
             ["assumption", "value", "calm, bytes/s", "ms/s", "zone lost, bytes/s", "ms/s"], rows
         )
 
-    def factors(self) -> str:
+    def extrapolation_factors(self) -> str:
         rows = []
         for axis, value in self.size.items():
             largest = max(r["size"][axis] for r in self.records)
-            rows.append([axis, figure(value), figure(largest), figure(max(1.0, value / largest))])
+            rows.append(
+                [
+                    axis,
+                    format_figure(value),
+                    format_figure(largest),
+                    format_figure(max(1.0, value / largest)),
+                ]
+            )
         together = max(r["size"]["hollow"] for r in self.records)
         rows.append(
             [
                 "assigners run together",
                 roles.ASSIGNERS,
                 together,
-                figure(roles.ASSIGNERS / together),
+                format_figure(roles.ASSIGNERS / together),
             ]
         )
-        return table(["axis", "target", "largest run", "extrapolated by"], rows)
+        return markdown_table(["axis", "target", "largest run", "extrapolated by"], rows)
 
     def ranking(self) -> str:
         rows = []
         for c in sorted(roles.CANDIDATES, key=lambda c: -c.weight(self.capacity, self.size)):
-            met, now = c.met_at(self.capacity), c.share(self.capacity, roles.on_the_way(0.0))
+            met, now = (
+                c.exhausted_at(self.capacity),
+                c.share(self.capacity, roles.size_between(0.0)),
+            )
             rows.append(
                 [
                     c.name,
                     roles.SITUATIONS[c.phase],
-                    f"{figure(c.value(self.capacity, self.size))} {c.unit}/s",
+                    f"{format_figure(c.value(self.capacity, self.size))} {c.unit}/s",
                     f"{c.share(self.capacity, self.size):.2f}",
-                    f"{c.part:.1g}",
+                    f"{c.time_share:.1g}",
                     f"{now:.2f}",
                     f"{met[0]:.0f} and {met[1]:.0f}" if met else "not on the way",
                     c.harm,
                     c.mechanism,
                 ]
             )
-        return table(
+        return markdown_table(
             [
                 "candidate",
                 "situation",
@@ -443,28 +472,28 @@
         )
 
 
-def written(page: str, blocks: dict) -> str:
-    """The page with each marked part replaced."""
+def replace_tables(page: str, blocks: dict) -> str:
+    """The page with the text between its markers replaced."""
 
     def replace(found):
         if found["name"] not in blocks:
-            raise BadPage(f"no table is named '{found['name']}'")
+            raise PageError(f"no table is named '{found['name']}'")
         return (
             f"<!-- begin {found['name']} -->\n{blocks[found['name']]}\n<!-- end {found['name']} -->"
         )
 
-    if not MARK.search(page):
-        raise BadPage("a page without a marked table")
-    return MARK.sub(replace, page)
+    if not TABLE_MARKER.search(page):
+        raise PageError("a page without a marked table")
+    return TABLE_MARKER.sub(replace, page)
 
 
-def rewrite(folder: Path, pages: list) -> list:
-    """Writes the pages anew from the records; returns those that changed."""
-    blocks, changed = Page(record.read_all(folder)).blocks(), []
-    made = [
-        (path, written(Path(path).read_text(), blocks)) for path in pages
-    ]  # all of them, before any is written
-    for path, text in made:
+def rewrite_pages(folder: Path, pages: list) -> list:
+    """Rewrites the pages' tables from the records; returns the pages that changed."""
+    blocks, changed = Page(record.read_all(folder)).tables(), []
+    rewritten = [
+        (path, replace_tables(Path(path).read_text(), blocks)) for path in pages
+    ]  # all pages before any is written
+    for path, text in rewritten:
         if text != Path(path).read_text():
             Path(path).write_text(text)
             changed.append(str(path))
