--- a/benchmarks/_days.py
+++ b/benchmarks/_days.py
@@ -12,7 +12,14 @@
 from typing import Any
 
 from fuzz.draw import Draw
-from fuzz.targets.core import KINDS, TICK, USUAL, Day, wild_event, wild_settings
+from fuzz.targets.core import (
+    REQUEST_CLASS_VARIANTS,
+    SERVER_REQUESTS_PER_S,
+    TICK_MS,
+    Scenario,
+    arbitrary_event,
+    arbitrary_settings,
+)
 from havendyke import interface
 from havendyke.state import LinearCongruentialGenerator
 
@@ -50,9 +57,12 @@
     limit = draw.choice((1.2, 2.5, 4.0)) * proxies * (head + 6 + ceil(0.4 * slices) + servers / 4)
     capped = draw.below(4) == 3
     classes = [
-        interface.RequestClass(1000.0, 3000.0, **KINDS[0]),
+        interface.RequestClass(1000.0, 3000.0, **REQUEST_CLASS_VARIANTS[0]),
         interface.RequestClass(
-            1500.0, 5000.0, **draw.choice(KINDS), own_zone_only=not sliced and draw.flag()
+            1500.0,
+            5000.0,
+            **draw.choice(REQUEST_CLASS_VARIANTS),
+            own_zone_only=not sliced and draw.flag(),
         ),
     ]
     return interface.Settings(
@@ -103,57 +113,63 @@
     return ", ".join(words + [word for word, on in flags.items() if on])
 
 
-class RecordedDay(Day):
+class RecordedDay(Scenario):
     """A fuzzed day with more kinds of settings, whose controller may be of any version."""
 
     def __init__(self, draw: Draw, seed: int, layout: str) -> None:
         """Draws the deployment."""
-        self.draw, self.seed, self.chance = draw, seed, LinearCongruentialGenerator(seed)
-        self.count, self.proxy_count = draw.choice((5, 6, 8, 10, 16, 30)), 2 + draw.below(5)
-        self.piece_count = (
-            max(1, int(draw.choice((0.5, 1.3, 3, 5)) * self.count)) if layout != "no slices" else 0
+        self.draw, self.seed, self.random_numbers = draw, seed, LinearCongruentialGenerator(seed)
+        self.server_count, self.proxy_count = draw.choice((5, 6, 8, 10, 16, 30)), 2 + draw.below(5)
+        self.slice_count = (
+            max(1, int(draw.choice((0.5, 1.3, 3, 5)) * self.server_count))
+            if layout != "no slices"
+            else 0
+        )
+        self.batch_size = max(1, self.server_count // 4)
+        self.utilization = draw.choice((0.35, 0.6, 0.8, 1.3, 1.9))
+        self.settings = drawn_settings(
+            draw, layout, self.server_count, self.proxy_count, self.slice_count
         )
-        self.batch = max(1, self.count // 4)
-        self.load = draw.choice((0.35, 0.6, 0.8, 1.3, 1.9))
-        self.settings = drawn_settings(draw, layout, self.count, self.proxy_count, self.piece_count)
         self.kind, self.last_mark = kind_of(layout, self.settings), 0
 
     def play(self, session: Any, record: Record) -> None:
         """Plays the whole day; `record` gets the orders of each turn."""
         self.record = record
-        self.begin(session, NoRules())
+        self.start(session, NoRules())
         if self.draw.below(4) == 3:
             self.begin_with_cached_list()
-        self.go(FIRST_MS)
+        self.run_for(FIRST_MS)
         for _ in range(4 + self.draw.below(32)):
             step, first, second, third = (self.draw.byte() for _ in range(4))
             getattr(self, self.STEPS[step % len(self.STEPS)].__name__)(first, second, third)
-            self.go(TICK * (1 + (step >> 4) * 2))
-        self.go(LAST_MS)
+            self.run_for(TICK_MS * (1 + (step >> 4) * 2))
+        self.run_for(LAST_MS)
 
     def begin_with_cached_list(self) -> None:
         """Half of the servers are known from a cached list in which they are warming up; the
         complete one comes later."""
-        old = self.listing(
-            interface.ListScope.CACHED, list(self.servers)[::2], started=self.now - 1000.0
+        old = self.endpoint_list(
+            interface.ListScope.CACHED, list(self.servers)[::2], started=self.now_ms - 1000.0
         )
         self.inbox[:2] = [old]
-        self.after(
+        self.schedule(
             CACHED_LIST_MS,
-            lambda: self.inbox.append(self.listing(interface.ListScope.COMPLETE, self.up())),
+            lambda: self.inbox.append(
+                self.endpoint_list(interface.ListScope.COMPLETE, self.running_servers())
+            ),
         )
 
-    def entry(self, server: Any, state: str, started: float | None) -> interface.EndpointEntry:
+    def list_entry(self, server: Any, state: str, started: float | None) -> interface.EndpointEntry:
         """An entry of the list, with a size by its cell."""
-        made = super().entry(server, state, started)
+        made = super().list_entry(server, state, started)
         return replace(made, size=(1.0, 1.0, 0.5, 2.0)[made.cell])
 
-    def brought(self) -> dict[Any, float]:
+    def request_rates(self) -> dict[Any, float]:
         """Requests a second that the proxies send to each server."""
         if self.settings.slice_count:
-            return super().brought()
-        views, brought = self.plane.connected_proxies(), {}
-        each = self.load * USUAL * self.count / max(1, len(views))
+            return super().request_rates()
+        views, brought = self.data_plane.connected_proxies(), {}
+        each = self.utilization * SERVER_REQUESTS_PER_S * self.server_count / max(1, len(views))
         for view in views:
             for table in view.bound_tables:
                 for server, part in view.traffic_shares(table).items():
@@ -162,7 +178,7 @@
                     )
         return brought
 
-    def carry_out(self, orders: Sequence[interface.Order]) -> None:
+    def process_orders(self, orders: Sequence[interface.Order]) -> None:
         """Hands on the orders of one turn and lets the world react."""
         self.record(orders)
         self.last_mark = max(
@@ -170,8 +186,8 @@
             + [order.nonce for order in orders if type(order) is interface.RequestAcknowledgement]
         )
         if any(type(order) is interface.RequestEndpointList for order in orders):
-            self.after(LIST_REQUEST_DELAY_MS, self.answer_list)
-        self.react(orders)
+            self.schedule(LIST_REQUEST_DELAY_MS, self.answer_list)
+        self.apply_orders(orders)
 
     def answer_list(self) -> None:
         """Answers the request for the endpoint list, at times with a failure."""
@@ -179,14 +195,14 @@
         self.inbox.append(
             interface.EndpointListUpdate(interface.ListScope.FAILED, [])
             if failed
-            else self.listing(interface.ListScope.COMPLETE, self.up())
+            else self.endpoint_list(interface.ListScope.COMPLETE, self.running_servers())
         )
 
     # Steps that ask the controller what it holds, or need slices
 
-    def repeat(self, first: int, second: int, third: int) -> None:
+    def repeat_events(self, first: int, second: int, third: int) -> None:
         """Repeats acknowledgements and failed lists."""
-        joined = [view.proxy for view in self.plane.connected_proxies()]
+        joined = [view.proxy for view in self.data_plane.connected_proxies()]
         if joined:
             self.inbox.append(
                 interface.PushAcknowledged(
@@ -196,17 +212,17 @@
         if third & 1:
             self.inbox.append(interface.EndpointListUpdate(interface.ListScope.FAILED, []))
 
-    def custody(self, first: int, second: int, third: int) -> None:
+    def unassign_slices(self, first: int, second: int, third: int) -> None:
         """Takes slices away for a while, where there are slices."""
         if self.settings.slice_count:
-            super().custody(first, second, third)
+            super().unassign_slices(first, second, third)
 
-    def shift(self, first: int, second: int, third: int) -> None:
+    def shift_demand(self, first: int, second: int, third: int) -> None:
         """Moves demand between slices, where there are several."""
-        if self.settings.slice_count and self.piece_count > 1:
-            super().shift(first, second, third)
+        if self.settings.slice_count and self.slice_count > 1:
+            super().shift_demand(first, second, third)
 
-    def cut(self, first: int, second: int, third: int) -> None:
+    def disconnect_channel(self, first: int, second: int, third: int) -> None:
         """Leaves the push channel as it is: the wire has no word of its loss."""
 
 
@@ -215,7 +231,7 @@
 
     def __init__(self, draw: Draw, seed: int) -> None:
         """Draws the settings."""
-        self.draw, self.seed, self.settings = draw, seed, wild_settings(draw)
+        self.draw, self.seed, self.settings = draw, seed, arbitrary_settings(draw)
         self.kind = kind_of("wild", self.settings)
 
     def play(self, session: Any, record: Record) -> None:
@@ -224,7 +240,7 @@
         for _ in range(20 + self.draw.below(60)):
             now += self.draw.choice((0.0, 1.0, 50.0, 250.0, 1000.0, 5000.0, 1e7))
             session.pending_events = [
-                wild_event(self.draw, session, now) for _ in range(1 + self.draw.below(6))
+                arbitrary_event(self.draw, session, now) for _ in range(1 + self.draw.below(6))
             ]
             if self.draw.flag():
                 session.pending_events.append(interface.TimerFired(0))
--- a/benchmarks/fuzzing.py
+++ b/benchmarks/fuzzing.py
@@ -76,7 +76,7 @@
     for name, target in sorted(registry.load().items()):
         seeds, count, began = target.seeds()[:20], 0, perf_counter()
         while perf_counter() - began < 0.5:
-            cases.failure(target, seeds[count % len(seeds)])
+            cases.run_and_catch(target, seeds[count % len(seeds)])
             count += 1
         made[name] = round(count / (perf_counter() - began), 1)
     return made
--- a/fuzz/__main__.py
+++ b/fuzz/__main__.py
@@ -12,7 +12,7 @@
 from . import cases, engine, faults, minimise, record, registry
 
 
-def chosen(names) -> list:
+def chosen_targets(names) -> list:
     return (
         [registry.target(name) for name in names]
         if names
@@ -27,7 +27,7 @@
         except click.ClickException as error:
             click.echo(f"fuzz: {error.format_message()}", err=True)
             sys.exit(2)
-        except (registry.UnknownTarget, cases.BadCase, faults.BadFault) as error:
+        except (registry.UnknownTarget, cases.InvalidInput, faults.InvalidFault) as error:
             click.echo(f"fuzz: {error.args[0]}", err=True)
             sys.exit(2)
 
@@ -41,21 +41,21 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON line a target.")
 def list_(as_json):
     """The targets, what they are for and how many inputs are kept."""
-    for target in chosen(()):
-        count = len(list((cases.CORPUS / target.name).glob("*.hex")))
+    for target in chosen_targets(()):
+        count = len(list((cases.CORPUS_DIR / target.name).glob("*.hex")))
         told = {
             "target": target.name,
             "engine": target.engine,
             "kept": count,
             "seeds": len(target.seeds()),
-            "about": target.about,
+            "about": target.description,
         }
         click.echo(
             json.dumps(told)
             if as_json
             else (
                 f"{target.name:14} {target.engine:11} {count:4} kept {len(target.seeds()):4} "
-                f"seeds  {target.about}"
+                f"seeds  {target.description}"
             )
         )
 
@@ -87,11 +87,11 @@
             f"{told['seed']}" + (f"; {told['error']}" if "error" in told else "")
         )
 
-    targets = chosen(names)
+    targets = chosen_targets(names)
     made = engine.run(targets, seconds, jobs, seed, by, tell)
     for target in targets:
-        for sign, said, data in engine.found(target):
-            path = cases.write(cases.WORK / target.name / "small", data)
+        for sign, said, data in engine.minimised_findings(target):
+            path = cases.write_input(cases.WORK_DIR / target.name / "small", data)
             click.echo(
                 f"\n{target.name}: {sign}\n  {said}\n  python -m fuzz replay {target.name} --file "
                 f"{path}"
@@ -115,15 +115,15 @@
 def replay(names, path, reach):
     """Run the kept inputs. Status 1 where one fails."""
     watch = record.Branches() if reach else None
-    targets, bad, count, began = chosen(names), 0, 0, time.monotonic()
+    targets, bad, count, began = chosen_targets(names), 0, 0, time.monotonic()
     if path is not None and len(targets) != 1:
         raise click.UsageError("--file goes with one target")
     for target in targets:
         for name, data in (
-            [(str(path), cases.read(path))] if path is not None else cases.kept(target)
+            [(str(path), cases.read_input(path))] if path is not None else cases.kept_inputs(target)
         ):
             count += 1
-            error = cases.failure(target, data)
+            error = cases.run_and_catch(target, data)
             if error is not None:
                 bad += 1
                 click.echo(f"{target.name}: {name}: {cases.signature(error)}: {str(error)[:400]}")
@@ -145,14 +145,16 @@
 def minimise_(name, path, keep):
     """Make an input that fails as small as it gets."""
     target = registry.target(name)
-    data = cases.read(path)
+    data = cases.read_input(path)
     small, tries = minimise.shrink(target, data)
-    error = cases.failure(target, small)
+    error = cases.run_and_catch(target, small)
     if error is None:
         click.echo(f"{path} does not fail; kept as it is" if keep else f"{path} does not fail")
     else:
         click.echo(f"{len(data)} bytes to {len(small)} in {tries} tries: {cases.signature(error)}")
-    where = cases.write(cases.FINDINGS / name if keep else cases.WORK / name / "small", small)
+    where = cases.write_input(
+        cases.FINDINGS_DIR / name if keep else cases.WORK_DIR / name / "small", small
+    )
     click.echo(str(where))
 
 
@@ -166,7 +168,7 @@
 )
 def merge(names, most):
     """Take what runs have found into the corpus, and keep the least of it that reaches the same."""
-    for target in chosen(names):
+    for target in chosen_targets(names):
         before, after, size, reached = engine.merge(target, most)
         click.echo(
             f"{target.name:14} {before} inputs, {after} kept with {size} bytes, {reached} steps "
--- a/fuzz/cases.py
+++ b/fuzz/cases.py
@@ -6,53 +6,57 @@
 import traceback
 from pathlib import Path
 
-from .registry import Broken, Target
+from .registry import CheckFailed, Target
 
-HERE = Path(__file__).parent
-CORPUS, FINDINGS, WORK = HERE / "corpus", HERE / "findings", HERE / ".work"
-LARGEST = 4096  # bytes of a kept input
+PACKAGE_DIR = Path(__file__).parent
+CORPUS_DIR, FINDINGS_DIR, WORK_DIR = (
+    PACKAGE_DIR / "corpus",
+    PACKAGE_DIR / "findings",
+    PACKAGE_DIR / ".work",
+)
+MAX_INPUT_BYTES = 4096  # bytes of a kept input
 
 
-class BadCase(ValueError):
+class InvalidInput(ValueError):
     """A file that holds no input of a target; the text says why."""
 
 
-def named(data: bytes) -> str:
+def input_name(data: bytes) -> str:
     return hashlib.blake2b(data, digest_size=8).hexdigest()
 
 
-def read(path: Path) -> bytes:
+def read_input(path: Path) -> bytes:
     """An input from a file: hexadecimal text, 64 digits a line, so that a change of it can be
     read."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise BadCase(
+        raise InvalidInput(
             f"{path}: cannot be read: {getattr(error, 'strerror', None) or 'not text'}"
         ) from None
     digits = "".join(text.split())
-    if len(digits) > 2 * LARGEST:
-        raise BadCase(f"{path}: over {LARGEST} bytes")
+    if len(digits) > 2 * MAX_INPUT_BYTES:
+        raise InvalidInput(f"{path}: over {MAX_INPUT_BYTES} bytes")
     if not re.fullmatch(r"([0-9a-f]{2})*", digits):
-        raise BadCase(f"{path}: not hexadecimal")
+        raise InvalidInput(f"{path}: not hexadecimal")
     return bytes.fromhex(digits)
 
 
-def write(folder: Path, data: bytes, prefix: str = "") -> Path:
+def write_input(folder: Path, data: bytes, prefix: str = "") -> Path:
     folder.mkdir(parents=True, exist_ok=True)
-    path = folder / f"{prefix}{named(data)}.hex"
+    path = folder / f"{prefix}{input_name(data)}.hex"
     digits = data.hex()
     path.write_text("".join(digits[k : k + 64] + "\n" for k in range(0, len(digits), 64)) or "\n")
     return path
 
 
-def kept(target: Target) -> list:
+def kept_inputs(target: Target) -> list:
     """(name, input) of all that replay runs: seeds, the corpus, and inputs that once were
     findings."""
     made = [(f"seed {k}", seed) for k, seed in enumerate(target.seeds())]
-    for folder in (CORPUS, FINDINGS):
+    for folder in (CORPUS_DIR, FINDINGS_DIR):
         made += [
-            (str(p.relative_to(HERE)), read(p))
+            (str(p.relative_to(PACKAGE_DIR)), read_input(p))
             for p in sorted((folder / target.name).glob("*.hex"))
         ]
     return made
@@ -62,15 +66,15 @@
     """The same for the same defect: kind of failure and, for a check, what it says without its
     figures."""
     frames = traceback.extract_tb(error.__traceback__)
-    if isinstance(error, Broken):
+    if isinstance(error, CheckFailed):
         said = re.sub(r"[^a-z ]+", " ", str(error).lower().split(" in place of ")[0][:90])
-        frame = next((f for f in reversed(frames) if f.name != "hold"), None)
+        frame = next((f for f in reversed(frames) if f.name != "check"), None)
         return f"{frame.name if frame else '?'}: {' '.join(said.split()[:6])}"
     frame = next((f for f in reversed(frames) if "havendyke" in f.filename), frames[-1])
     return f"{type(error).__name__} in {Path(frame.filename).name}:{frame.name}"
 
 
-def failure(target: Target, data: bytes):
+def run_and_catch(target: Target, data: bytes):
     """What an input does: None, or the error."""
     try:
         target.run(data)
@@ -79,7 +83,7 @@
     return None
 
 
-class Reach:
+class TransitionTrace:
     """Which steps from line to line of the product an input takes. Slow, for choosing inputs, not
     for finding them."""
 
@@ -110,7 +114,7 @@
         before = sys.gettrace()
         sys.settrace(self.trace)
         try:
-            failure(target, data)
+            run_and_catch(target, data)
         finally:
             sys.settrace(before)
         return frozenset(self.seen)
--- a/fuzz/child.py
+++ b/fuzz/child.py
@@ -12,7 +12,7 @@
 from . import cases, registry
 
 SAY = 1.0  # s between lines
-BATCH = 40  # examples of hypothesis between looks at the clock and at coverage
+EXAMPLES_PER_BATCH = 40  # examples of hypothesis between looks at the clock and at coverage
 WATCHED = 4  # every so many batches one is watched, for watching costs four fifths of the pace
 
 
@@ -38,7 +38,7 @@
         if before is None or len(data) < len(before):
             self.found[sign] = data
             (self.folder / "found").mkdir(parents=True, exist_ok=True)
-            mark = cases.named(sign.encode())
+            mark = cases.input_name(sign.encode())
             (self.folder / "found" / f"{mark}.json").write_text(
                 json.dumps(
                     {"signature": sign, "said": str(error)[:600], "input": data.hex(), **self.told}
@@ -75,7 +75,7 @@
     target = tally.target = registry.target(told["target"])
 
     def one(data):
-        data = data[: target.most]
+        data = data[: target.max_size]
         tally.told["executions"] += 1
         try:
             target.run(data)
@@ -88,7 +88,7 @@
     corpus = tally.folder / "inputs"
     words = tally.folder / "words.txt"
     words.write_text(
-        "".join(f'"{"".join(f"{chr(92)}x{b:02x}" for b in word)}"\n' for word in target.words)
+        "".join(f'"{"".join(f"{chr(92)}x{b:02x}" for b in word)}"\n' for word in target.dictionary)
     )
     # libFuzzer ends the process itself; what was told last before counts.
     atheris.Setup(
@@ -97,9 +97,9 @@
             str(corpus),
             f"-max_total_time={told['seconds']}",
             f"-seed={told['seed']}",
-            f"-max_len={target.most}",
+            f"-max_len={target.max_size}",
             "-print_final_stats=0",
-            f"-dict={words}" if target.words else "-verbosity=1",
+            f"-dict={words}" if target.dictionary else "-verbosity=1",
             f"-artifact_prefix={tally.folder}/",
         ],
         one,
@@ -107,14 +107,14 @@
     atheris.Fuzz()
 
 
-def batch(one, programs, seed):
+def batch_test(one, programs, seed):
     """A test of `one` with a batch of examples. The seed goes before any profile that fixes the
     draws, as in a CI."""
     import hypothesis
 
     test = hypothesis.given(programs)(one)
     test = hypothesis.settings(
-        max_examples=BATCH,
+        max_examples=EXAMPLES_PER_BATCH,
         database=None,
         deadline=None,
         report_multiple_bugs=False,
@@ -136,13 +136,13 @@
     registry.load()
     target = tally.target = registry.target(told["target"])
     steps = st.lists(
-        st.binary(min_size=target.step, max_size=target.step),
+        st.binary(min_size=target.step_size, max_size=target.step_size),
         min_size=1,
-        max_size=(target.most - target.head) // target.step,
-    )
-    programs = st.tuples(st.binary(min_size=target.head, max_size=target.head), steps).map(
-        lambda p: p[0] + b"".join(p[1])
+        max_size=(target.max_size - target.header_size) // target.step_size,
     )
+    programs = st.tuples(
+        st.binary(min_size=target.header_size, max_size=target.header_size), steps
+    ).map(lambda p: p[0] + b"".join(p[1]))
     drawn, last, over, round_ = [], [None, None], tally.began + told["seconds"], 0
 
     def one(data):
@@ -176,7 +176,7 @@
             watch.start()
         drawn.clear()
         last[:] = None, None
-        test = batch(one, programs, told["seed"] * 1_000_003 + round_)
+        test = batch_test(one, programs, told["seed"] * 1_000_003 + round_)
         try:
             test()
         except Exception as error:
@@ -188,8 +188,8 @@
             before = tally.told["reached"]
             tally.reached(arcs())
             if tally.told["reached"] > before:
-                for data in dict.fromkeys(drawn[-BATCH:]):
-                    cases.write(tally.folder / "fresh", data)
+                for data in dict.fromkeys(drawn[-EXAMPLES_PER_BATCH:]):
+                    cases.write_input(tally.folder / "fresh", data)
         tally.say()
 
 
--- a/fuzz/draw.py
+++ b/fuzz/draw.py
@@ -3,7 +3,7 @@
 
 import copy
 
-NUMBERS = (
+EDGE_NUMBERS = (
     0,
     1,
     -1,
@@ -23,7 +23,7 @@
     65535,
     65536,
 )
-ODD = (
+UNUSUAL_VALUES = (
     None,
     True,
     False,
@@ -49,15 +49,15 @@
     """Every input is a whole program: past its end all draws are 0, the plainest choice."""
 
     def __init__(self, data: bytes):
-        self.data, self.at = bytes(data), 0
+        self.data, self.position = bytes(data), 0
 
     @property
-    def over(self) -> bool:
-        return self.at >= len(self.data)
+    def exhausted(self) -> bool:
+        return self.position >= len(self.data)
 
     def byte(self) -> int:
-        self.at += 1
-        return self.data[self.at - 1] if self.at <= len(self.data) else 0
+        self.position += 1
+        return self.data[self.position - 1] if self.position <= len(self.data) else 0
 
     def below(self, most: int) -> int:
         """From 0 to `most` - 1, from one byte; from two where that is more than 256."""
@@ -66,21 +66,23 @@
     def choice(self, some):
         return some[self.below(len(some))]
 
-    def part(self) -> float:
+    def fraction(self) -> float:
         """From 0 to 1, both included."""
         return self.byte() / 255
 
-    def between(self, least: float, most: float) -> float:
-        return least + (most - least) * self.part()
+    def number_between(self, least: float, most: float) -> float:
+        return least + (most - least) * self.fraction()
 
     def flag(self) -> bool:
         return bool(self.byte() & 1)
 
-    def odd(self):
+    def unusual_value(self):
         """A JSON value that a message hardly ever has; a copy, for targets write into what they are
         given."""
-        return copy.deepcopy(self.choice(ODD)) if self.flag() else self.choice(NUMBERS)
+        return (
+            copy.deepcopy(self.choice(UNUSUAL_VALUES)) if self.flag() else self.choice(EDGE_NUMBERS)
+        )
 
-    def rest(self) -> bytes:
-        made, self.at = self.data[self.at :], len(self.data)
+    def remaining_bytes(self) -> bytes:
+        made, self.position = self.data[self.position :], len(self.data)
         return made
--- a/fuzz/engine.py
+++ b/fuzz/engine.py
@@ -14,21 +14,21 @@
 from .minimise import shrink
 from .registry import Target
 
-RUNS = cases.HERE / "runs.jsonl"
+RUNS_FILE = cases.PACKAGE_DIR / "runs.jsonl"
 GRACE = 60.0  # s that a run may take beyond its time
-MOST_KEPT = 60  # inputs of a target in the corpus
+MAX_CORPUS_INPUTS = 60  # inputs of a target in the corpus
 
 
 def work(target: Target) -> Path:
-    return cases.WORK / target.name
+    return cases.WORK_DIR / target.name
 
 
 def prepared(target: Target) -> Path:
     """The target's work folder with all kept inputs as files for libFuzzer."""
     folder = work(target) / "inputs"
     folder.mkdir(parents=True, exist_ok=True)
-    for _, data in cases.kept(target):
-        (folder / cases.named(data)).write_bytes(data)
+    for _, data in cases.kept_inputs(target):
+        (folder / cases.input_name(data)).write_bytes(data)
     return work(target)
 
 
@@ -49,7 +49,7 @@
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
-        cwd=cases.HERE.parent,
+        cwd=cases.PACKAGE_DIR.parent,
     )
     try:
         out, errors = process.communicate(json.dumps(asked), timeout=seconds + GRACE)
@@ -116,7 +116,7 @@
         shutil.rmtree(work(target) / "found", ignore_errors=True)
     with ThreadPoolExecutor(jobs) as pool:
         made = list(pool.map(each, enumerate(targets)))
-    with RUNS.open("a") as file:
+    with RUNS_FILE.open("a") as file:
         for told in made:
             file.write(json.dumps(told, sort_keys=True) + "\n")
     return made
@@ -126,7 +126,7 @@
     return f"{engine} {version(engine)}"
 
 
-def found(target: Target) -> list:
+def minimised_findings(target: Target) -> list:
     """What the last run found, each made small: (signature, said, input)."""
     made = []
     for path in sorted((work(target) / "found").glob("*.json")):
@@ -139,24 +139,24 @@
 def merge(target: Target, most: int = 3000) -> tuple:
     """Keeps the smallest inputs that together reach what all reach: (before, after, bytes, steps
     reached)."""
-    folder, inputs = cases.CORPUS / target.name, {}
+    folder, inputs = cases.CORPUS_DIR / target.name, {}
     for source in (folder, work(target) / "fresh"):
         for path in source.glob("*.hex"):
-            inputs[cases.read(path)] = None
+            inputs[cases.read_input(path)] = None
     for path in (work(target) / "inputs").glob("*") if target.engine == "atheris" else ():
-        inputs[path.read_bytes()[: target.most]] = None
-    seeds, reach = target.seeds(), cases.Reach()
+        inputs[path.read_bytes()[: target.max_size]] = None
+    seeds, reach = target.seeds(), cases.TransitionTrace()
     reached = set().union(*(reach.of(target, seed) for seed in seeds)) if seeds else set()
     candidates = sorted(
-        (data for data in inputs if len(data) <= cases.LARGEST and data not in seeds),
+        (data for data in inputs if len(data) <= cases.MAX_INPUT_BYTES and data not in seeds),
         key=lambda d: (len(d), d),
     )
     each = {}
     for data in candidates[:most]:
-        if cases.failure(target, data) is None:
+        if cases.run_and_catch(target, data) is None:
             each[data] = reach.of(target, data)
     chosen = []
-    while each and len(chosen) < MOST_KEPT:
+    while each and len(chosen) < MAX_CORPUS_INPUTS:
         # The most new steps first; of equals the shorter.
         best = max(each, key=lambda d: (len(each[d] - reached), -len(d)))
         fresh = each.pop(best) - reached
@@ -167,5 +167,5 @@
         each = {d: r for d, r in each.items() if not r <= reached}
     shutil.rmtree(folder, ignore_errors=True)
     for data in chosen:
-        cases.write(folder, data)
+        cases.write_input(folder, data)
     return len(inputs), len(chosen), sum(map(len, chosen)), len(reached)
--- a/fuzz/faults.py
+++ b/fuzz/faults.py
@@ -14,10 +14,10 @@
 
 from . import cases, registry
 
-ROOT = cases.HERE.parent
+ROOT = cases.PACKAGE_DIR.parent
 
 
-class BadFault(ValueError):
+class InvalidFault(ValueError):
     """A fault that does not fit the text it is patched into, or none of that name."""
 
 
@@ -265,7 +265,7 @@
     path = folder / "havendyke" / fault.path
     text = path.read_text()
     if text.count(fault.old) != 1:
-        raise BadFault(
+        raise InvalidFault(
             f"fault '{fault.name}': its text stands {text.count(fault.old)} times in "
             f"havendyke/{fault.path}"
         )
@@ -299,10 +299,10 @@
             # What fails without the fault as well is another matter, and no credit to the search.
             for path in (folder / "fuzz" / ".work" / fault.target / "found").glob("*.json"):
                 seen, target = json.loads(path.read_text()), registry.target(fault.target)
-                if cases.failure(target, bytes.fromhex(seen["input"])) is None:
+                if cases.run_and_catch(target, bytes.fromhex(seen["input"])) is None:
                     told |= {"found": True, "by": "search", "signature": seen["signature"]}
         if done.returncode not in (0, 1):
-            raise BadFault(
+            raise InvalidFault(
                 f"fault '{fault.name}': {done.stderr.strip().splitlines()[-1:] or done.returncode}"
             )
     return told | {"seconds": time.monotonic() - began}
@@ -312,7 +312,7 @@
     known = {fault.name: fault for fault in FAULTS}
     for name in names:
         if name not in known:
-            raise BadFault(f"no fault is named '{name[:60]}'; there are {', '.join(known)}")
+            raise InvalidFault(f"no fault is named '{name[:60]}'; there are {', '.join(known)}")
     registry.load()
     with ThreadPoolExecutor(jobs) as pool:
         yield from pool.map(
--- a/fuzz/minimise.py
+++ b/fuzz/minimise.py
@@ -1,13 +1,13 @@
 """Makes an input that fails small: steps out, then bytes out, then bytes plain, as long as it fails
 alike."""
 
-from .cases import failure, signature
+from .cases import run_and_catch, signature
 from .registry import Target
 
 
 def shrink(target: Target, data: bytes, tries: int = 4000) -> tuple:
     """The smallest input found that fails with the same signature, and how many were tried."""
-    error = failure(target, data)
+    error = run_and_catch(target, data)
     if error is None:
         return data, 1
     wanted, used = signature(error), 1
@@ -15,7 +15,7 @@
     def fails(candidate):
         nonlocal used
         used += 1
-        told = failure(target, candidate)
+        told = run_and_catch(target, candidate)
         return told is not None and signature(told) == wanted
 
     def without(data, grain, head):
@@ -34,8 +34,8 @@
     before = None
     while data != before and used < tries:
         before = data
-        data = without(data, target.step, target.head)
-        if target.step == 1:
+        data = without(data, target.step_size, target.header_size)
+        if target.step_size == 1:
             data = without(data, 1, 0)
         for at in range(len(data)):
             for plain in (0, 1, data[at] // 2):
--- a/fuzz/record.py
+++ b/fuzz/record.py
@@ -6,7 +6,7 @@
 from . import cases, engine, registry
 
 MODULES = ("config", "fields", "registry", "policy", "state", "net")
-RECORD = cases.HERE / "RECORD.md"
+RECORD = cases.PACKAGE_DIR / "RECORD.md"
 
 
 class Branches:
@@ -39,8 +39,8 @@
 
 def runs() -> list:
     return (
-        [json.loads(line) for line in engine.RUNS.read_text().splitlines()]
-        if engine.RUNS.exists()
+        [json.loads(line) for line in engine.RUNS_FILE.read_text().splitlines()]
+        if engine.RUNS_FILE.exists()
         else []
     )
 
--- a/fuzz/registry.py
+++ b/fuzz/registry.py
@@ -15,7 +15,7 @@
 )
 
 
-class Broken(AssertionError):
+class CheckFailed(AssertionError):
     """An oracle's verdict: what was done is not what must hold."""
 
 
@@ -23,10 +23,10 @@
     """No target has this name."""
 
 
-def hold(kept: bool, *said):
+def check(kept: bool, *said):
     """An oracle's check; `said` names what was seen and is only made into a text when it fails."""
     if not kept:
-        raise Broken(" ".join(s if isinstance(s, str) else repr(s)[:300] for s in said))
+        raise CheckFailed(" ".join(s if isinstance(s, str) else repr(s)[:300] for s in said))
 
 
 @dataclass(frozen=True)
@@ -36,15 +36,15 @@
     modules it is for."""
 
     name: str
-    about: str
+    description: str
     run: object
     seeds: object
     covers: tuple
     engine: str = "atheris"  # or "hypothesis"
-    words: tuple = ()
-    step: int = 1
-    most: int = 1024  # bytes of an input
-    head: int = 0  # bytes before the first step
+    dictionary: tuple = ()
+    step_size: int = 1
+    max_size: int = 1024  # bytes of an input
+    header_size: int = 0  # bytes before the first step
 
 
 TARGETS: dict = {}
--- a/fuzz/targets/controllers.py
+++ b/fuzz/targets/controllers.py
@@ -8,7 +8,7 @@
 from havendyke.state import LinearCongruentialGenerator
 
 from ..draw import Draw
-from ..registry import hold, register
+from ..registry import check, register
 
 HEAD = 8  # bytes that draw the deployment; four a step after them
 LONGEST = 30_000.0  # ms of a day
@@ -151,7 +151,7 @@
     def go(self, span):
         self.group.run_for(span)
         breaches = self.group.violations
-        hold(not breaches, "broken:", *[str(breach) for breach in breaches[:1]])
+        check(not breaches, "broken:", *[str(breach) for breach in breaches[:1]])
 
 
 def play(data) -> JointDay:
@@ -189,13 +189,13 @@
 
 @register(
     name="joint_days",
-    about="drawn days over several controllers against the five rules, judged together",
+    description="drawn days over several controllers against the five rules, judged together",
     seeds=joint_days,
     covers=("policy", "state"),
     engine="hypothesis",
-    step=4,
-    head=HEAD,
-    most=HEAD + 48,
+    step_size=4,
+    header_size=HEAD,
+    max_size=HEAD + 48,
 )
 def run_joint_day(data):
     play(data)
--- a/fuzz/targets/core.py
+++ b/fuzz/targets/core.py
@@ -15,13 +15,13 @@
 from havendyke.state import LinearCongruentialGenerator
 
 from ..draw import Draw
-from ..registry import hold, register
+from ..registry import check, register
 
-TICK = 50.0  # ms between looks at the proxies
-USUAL = 100.0  # operations a second that a server answers well
+TICK_MS = 50.0  # ms between looks at the proxies
+SERVER_REQUESTS_PER_S = 100.0  # operations a second that a server answers well
 LONGEST = 40_000.0
 HEAD = 9  # bytes that draw the deployment; four a step after them
-KINDS = (
+REQUEST_CLASS_VARIANTS = (
     dict(idempotency=core.Idempotency.IDEMPOTENT),
     dict(idempotency=core.Idempotency.NON_IDEMPOTENT),
     dict(idempotency=core.Idempotency.KEYED, deduplication_window_ms=9000.0),
@@ -44,30 +44,30 @@
     for o in orders:
         match o:
             case core.SetEndpointWeight():
-                hold(math.isfinite(o.weight) and o.weight >= 0, "a weight of", o.weight)
-                hold(
+                check(math.isfinite(o.weight) and o.weight >= 0, "a weight of", o.weight)
+                check(
                     o.server in servers and o.slice in pieces | set(registry.controller.slices),
                     "a line of strangers",
                 )
             case core.SetEjection():
-                hold(o.server in servers and type(o.ejected) is bool, "a withdrawal", o)
+                check(o.server in servers and type(o.ejected) is bool, "a withdrawal", o)
             case core.SetAdmission():
-                hold(
+                check(
                     o.retry_policy in core.RetryPolicy and math.isfinite(o.limit) and o.limit >= 0,
                     "tries",
                     o,
                 )
                 classes = range(len(registry.controller.settings.request_classes))
-                hold(o.request_classes and set(o.request_classes) <= set(classes), "classes", o)
+                check(o.request_classes and set(o.request_classes) <= set(classes), "classes", o)
             case core.RequestAcknowledgement():
-                hold(0 <= o.nonce < 65536, "a mark of", o.nonce)
+                check(0 <= o.nonce < 65536, "a mark of", o.nonce)
             case core.StartTimer():
-                hold(math.isfinite(o.delay_ms) and o.delay_ms > 0, "a timer after", o.delay_ms)
+                check(math.isfinite(o.delay_ms) and o.delay_ms > 0, "a timer after", o.delay_ms)
             case core.BindTable():
-                hold(o.proxy in proxies, "a stranger bound")
+                check(o.proxy in proxies, "a stranger bound")
 
 
-class Day:
+class Scenario:
     """A deployment and a day of troubles that leave the rules a way: `step`s are drawn, the world
     goes on by itself.
 
@@ -76,32 +76,32 @@
     not while the channel is slow."""
 
     def __init__(self, draw, seed):
-        self.chance = LinearCongruentialGenerator(seed)
-        self.count = 5 + draw.below(6)
+        self.random_numbers = LinearCongruentialGenerator(seed)
+        self.server_count = 5 + draw.below(6)
         per, self.proxy_count = 3 + draw.below(3), 2 + draw.below(4)
-        self.piece_count = per * self.count
+        self.slice_count = per * self.server_count
         flags = draw.byte()
         one_owner = flags & 7 == 7
         head = draw.choice((6.0, 8.0, 12.0))
-        self.batch = max(1, self.count // 4)
-        urgent = math.ceil(1.6 * self.batch * per) + self.batch
+        self.batch_size = max(1, self.server_count // 4)
+        urgent = math.ceil(1.6 * self.batch_size * per) + self.batch_size
         limit = (2.5, 4.0)[flags >> 5 & 1] * self.proxy_count * (head + 6 + urgent)
-        self.delay = draw.choice((100.0, 200.0, 350.0))
-        self.load = draw.choice((0.35, 0.5, 0.65, 0.8))
+        self.push_delay_ms = draw.choice((100.0, 200.0, 350.0))
+        self.utilization = draw.choice((0.35, 0.5, 0.65, 0.8))
         self.settings = core.Settings(
             request_classes=[
-                core.RequestClass(1000.0, 3000.0, **KINDS[0]),
-                core.RequestClass(1500.0, 5000.0, **KINDS[1 + (flags >> 3) % 4]),
+                core.RequestClass(1000.0, 3000.0, **REQUEST_CLASS_VARIANTS[0]),
+                core.RequestClass(1500.0, 5000.0, **REQUEST_CLASS_VARIANTS[1 + (flags >> 3) % 4]),
             ],
             zone_count=3,
-            slice_count=self.piece_count,
+            slice_count=self.slice_count,
             exclusive_ownership=one_owner,
             lease_ms=1000.0 if one_owner else 0.0,
             max_write_in_flight_ms=800.0 if one_owner else 0.0,
             channel_queue_limit=limit,
             channel_rate_per_s=limit / 1.2,
             message_overhead=head,
-            push_delay_ms=self.delay,
+            push_delay_ms=self.push_delay_ms,
             report_interval_ms=1000.0,
             warm_up_ms=12_000.0,
             initial_capacity_share=draw.choice((0.2, 0.1)),
@@ -112,18 +112,31 @@
         )
         bounds = Bounds(
             empty_table_ms=6000.0 if one_owner else 2500.0,
-            drain_grace_ms=2300.0 + 2 * max(0.0, self.delay - 200.0),
+            drain_grace_ms=2300.0 + 2 * max(0.0, self.push_delay_ms - 200.0),
+        )
+        self.start(
+            ObjectRegistry(self.settings, seed),
+            RuleChecker(self.settings, bounds, SERVER_REQUESTS_PER_S),
         )
-        self.begin(ObjectRegistry(self.settings, seed), RuleChecker(self.settings, bounds, USUAL))
 
-    def begin(self, registry, rules):
+    def start(self, registry, rules):
         """The fleet as it stands at first, and all that the controller behind `registry` is told of
         it."""
-        self.registry, self.rules = registry, rules
-        self.now, self.plane = 100_000.0, DataPlane(self.settings, self.chance.draw)
-        self.plane.now = self.rules.now = self.now
-        self.serial, self.ordinal, self.digest = 0, 0, hashlib.blake2b(digest_size=12)
-        self.timers, self.later, self.reached, self.busy_till, self.reports_off = (
+        self.registry, self.rule_checker = registry, rules
+        self.now_ms, self.data_plane = 100_000.0, DataPlane(self.settings, self.random_numbers.draw)
+        self.data_plane.now = self.rule_checker.now = self.now_ms
+        self.last_server_number, self.action_serial, self.digest = (
+            0,
+            0,
+            hashlib.blake2b(digest_size=12),
+        )
+        (
+            self.timers,
+            self.scheduled,
+            self.channel_available,
+            self.stalled_until_ms,
+            self.reports_stopped_until_ms,
+        ) = (
             [],
             [],
             True,
@@ -131,47 +144,52 @@
             0.0,
         )
         self.servers = {}  # by object: "up", "down" or "hung"
-        self.draining, self.drained_at, self.failed_at, self.slow_till = [], -1e9, -1e9, -1e9
-        self.slowness, self.stood = {}, []
-        names = [self.new() for _ in range(self.count)]
-        total = USUAL * self.load * self.count
-        raw = [0.4 + self.chance.draw() for _ in range(self.piece_count)]
+        self.draining, self.drained_at_ms, self.failed_at_ms, self.channel_slow_until_ms = (
+            [],
+            -1e9,
+            -1e9,
+            -1e9,
+        )
+        self.slowdowns, self.stood = {}, []
+        names = [self.add_server() for _ in range(self.server_count)]
+        total = SERVER_REQUESTS_PER_S * self.utilization * self.server_count
+        raw = [0.4 + self.random_numbers.draw() for _ in range(self.slice_count)]
         self.demand = {self.registry.slice(k): total * r / sum(raw) for k, r in enumerate(raw)}
         self.inbox = [
             core.EndpointListUpdate(core.ListScope.CACHED, []),
-            self.listing(core.ListScope.COMPLETE, names),
+            self.endpoint_list(core.ListScope.COMPLETE, names),
         ]
-        self.rules.observe_list(self.now, self.inbox[-1])
+        self.rule_checker.observe_list(self.now_ms, self.inbox[-1])
         for k, piece in enumerate(self.demand):
-            self.inbox += self.plane.assign_slice(piece, {names[k % len(names)]: 1.0})
+            self.inbox += self.data_plane.assign_slice(piece, {names[k % len(names)]: 1.0})
         for k in range(self.proxy_count):
-            self.inbox.append(self.plane.connect(self.registry.proxy(k), k % 3, 20.0, True))
-        self.next_report = self.now + 1000.0
+            self.inbox.append(self.data_plane.connect(self.registry.proxy(k), k % 3, 20.0, True))
+        self.next_report_ms = self.now_ms + 1000.0
 
     # The servers and their list
 
-    def new(self):
-        self.serial += 1
-        server = self.registry.server(f"s{self.serial}")
+    def add_server(self):
+        self.last_server_number += 1
+        server = self.registry.server(f"s{self.last_server_number}")
         self.servers[server] = "up"
         return server
 
-    def entry(self, server, state, started):
+    def list_entry(self, server, state, started):
         return core.EndpointEntry(
             server, state, started, int(server.id[1:]) % 3, int(server.id[1:]) % 4, 0, 1.0
         )
 
-    def listing(self, scope, servers, state="ready", started=None):
-        return core.EndpointListUpdate(scope, [self.entry(s, state, started) for s in servers])
+    def endpoint_list(self, scope, servers, state="ready", started=None):
+        return core.EndpointListUpdate(scope, [self.list_entry(s, state, started) for s in servers])
 
-    def list(self, event, wait=0.0):
-        self.after(wait, lambda: self.tell_list(event))
+    def send_list(self, event, wait=0.0):
+        self.schedule(wait, lambda: self.deliver_list(event))
 
-    def tell_list(self, event):
-        self.rules.observe_list(self.now, event)
+    def deliver_list(self, event):
+        self.rule_checker.observe_list(self.now_ms, event)
         self.inbox.append(event)
 
-    def up(self):
+    def running_servers(self):
         return [s for s, how in self.servers.items() if how == "up" and s not in self.draining]
 
     # Steps; each leaves alone what would leave the rules no way
@@ -181,106 +199,125 @@
 
     def drain(self, a, b, c):
         calm = (
-            self.now > self.slow_till + 2000
-            and self.now - max(self.drained_at, self.failed_at) > 4000
+            self.now_ms > self.channel_slow_until_ms + 2000
+            and self.now_ms - max(self.drained_at_ms, self.failed_at_ms) > 4000
         )
-        if self.draining or not calm or len(self.up()) < self.count - self.batch + 1:
+        if (
+            self.draining
+            or not calm
+            or len(self.running_servers()) < self.server_count - self.batch_size + 1
+        ):
             return
-        up = self.up()
-        self.draining = [up[(a + k) % len(up)] for k in range(min(self.batch, 1 + b % self.batch))]
-        self.drained_at = self.now
-        self.list(self.listing(core.ListScope.CHANGES, self.draining, "draining"))
+        up = self.running_servers()
+        self.draining = [
+            up[(a + k) % len(up)] for k in range(min(self.batch_size, 1 + b % self.batch_size))
+        ]
+        self.drained_at_ms = self.now_ms
+        self.send_list(self.endpoint_list(core.ListScope.CHANGES, self.draining, "draining"))
 
-    def replace(self, a, b, c):
-        if self.draining and self.now - self.drained_at > 3000:
+    def replace_drained(self, a, b, c):
+        if self.draining and self.now_ms - self.drained_at_ms > 3000:
             gone, self.draining = self.draining, []
             for server in gone:
                 self.servers[server] = "down"
-            self.list(self.listing(core.ListScope.CHANGES, gone, "gone"))
-            fresh = [self.new() for _ in gone]
-            self.list(self.listing(core.ListScope.CHANGES, fresh, "ready", self.now), c * 4.0)
-            self.failed_at = self.now
+            self.send_list(self.endpoint_list(core.ListScope.CHANGES, gone, "gone"))
+            fresh = [self.add_server() for _ in gone]
+            self.send_list(
+                self.endpoint_list(core.ListScope.CHANGES, fresh, "ready", self.now_ms), c * 4.0
+            )
+            self.failed_at_ms = self.now_ms
 
-    def fail(self, a, b, c):
-        up = self.up()
+    def fail_servers(self, a, b, c):
+        up = self.running_servers()
         if (
             self.draining
-            or self.now - max(self.failed_at, self.drained_at) < 6000
-            or len(up) < self.count
-            or self.now < self.slow_till + 2000
+            or self.now_ms - max(self.failed_at_ms, self.drained_at_ms) < 6000
+            or len(up) < self.server_count
+            or self.now_ms < self.channel_slow_until_ms + 2000
         ):
             return
-        self.failed_at = self.now
-        struck = [up[(a + k) % len(up)] for k in range(min(self.batch, 1 + b % self.batch))]
+        self.failed_at_ms = self.now_ms
+        struck = [
+            up[(a + k) % len(up)] for k in range(min(self.batch_size, 1 + b % self.batch_size))
+        ]
         for server in struck:
             self.servers[server] = "hung" if c & 1 else "down"
         if not c & 1:
-            self.list(self.listing(core.ListScope.CHANGES, struck, "gone"), 1000.0 + c * 8)
-        self.after(5000.0 + b * 16, lambda: self.come_back(struck))
+            self.send_list(
+                self.endpoint_list(core.ListScope.CHANGES, struck, "gone"), 1000.0 + c * 8
+            )
+        self.schedule(5000.0 + b * 16, lambda: self.restore_servers(struck))
 
-    def come_back(self, struck):
+    def restore_servers(self, struck):
         for server in struck:
             self.servers[server] = "up"
-        self.list(self.listing(core.ListScope.CHANGES, struck, "ready", self.now), 300.0)
+        self.send_list(
+            self.endpoint_list(core.ListScope.CHANGES, struck, "ready", self.now_ms), 300.0
+        )
 
-    def proxy(self, a, b, c):
-        view = list(self.plane.proxies.values())[a % self.proxy_count]
+    def toggle_proxy(self, a, b, c):
+        view = list(self.data_plane.proxies.values())[a % self.proxy_count]
         if view.connected:
-            if len(self.plane.connected_proxies()) > 1:
-                self.inbox.append(self.plane.disconnect(view.proxy))
-                self.after(200.0 + b * 20, lambda: self.rejoin(view, c))
+            if len(self.data_plane.connected_proxies()) > 1:
+                self.inbox.append(self.data_plane.disconnect(view.proxy))
+                self.schedule(200.0 + b * 20, lambda: self.reconnect_proxy(view, c))
         else:
-            self.rejoin(view, c)
+            self.reconnect_proxy(view, c)
 
-    def rejoin(self, view, c):
+    def reconnect_proxy(self, view, c):
         if not view.connected:
-            self.inbox.append(self.plane.connect(view.proxy, view.zone, view.rate, bool(c & 1)))
+            self.inbox.append(
+                self.data_plane.connect(view.proxy, view.zone, view.rate, bool(c & 1))
+            )
 
-    def custody(self, a, b, c):
+    def unassign_slices(self, a, b, c):
         pieces = list(self.demand)
         taken = [pieces[(a + k) % len(pieces)] for k in range(1 + b % max(1, len(pieces) // 4))]
         self.inbox += [
-            self.plane.unassign_slice(p) for p in taken if p in self.plane.assigned_slices
+            self.data_plane.unassign_slice(p) for p in taken if p in self.data_plane.assigned_slices
         ]
-        self.after(800.0 + c * 8, lambda: self.give_back(taken))
+        self.schedule(800.0 + c * 8, lambda: self.reassign_slices(taken))
 
-    def give_back(self, taken):
-        up = self.up()
+    def reassign_slices(self, taken):
+        up = self.running_servers()
         for k, piece in enumerate(taken):
-            if piece not in self.plane.assigned_slices:
+            if piece not in self.data_plane.assigned_slices:
                 # Whoever had it meanwhile may have moved it; of a sole owner not so fast that
                 # writes could meet.
                 other = up[k % len(up)] if k % 2 and not self.settings.exclusive_ownership else None
-                self.inbox += self.plane.assign_slice(
-                    piece, {other: 1.0} if other else self.plane.store[piece]
+                self.inbox += self.data_plane.assign_slice(
+                    piece, {other: 1.0} if other else self.data_plane.store[piece]
                 )
 
     def slow_server(self, a, b, c):
-        up = self.up()
-        self.slowness[up[a % len(up)]] = 1.0 + b / 64
+        up = self.running_servers()
+        self.slowdowns[up[a % len(up)]] = 1.0 + b / 64
 
     def slow_channel(self, a, b, c):
-        if not self.draining and self.now - self.failed_at > 6000:
-            self.plane.slowdown, self.slow_till = 1.0 + a / 128, self.now + b * 20.0
-            self.after(b * 20.0, lambda: setattr(self.plane, "slowdown", 1.0))
+        if not self.draining and self.now_ms - self.failed_at_ms > 6000:
+            self.data_plane.slowdown, self.channel_slow_until_ms = (
+                1.0 + a / 128,
+                self.now_ms + b * 20.0,
+            )
+            self.schedule(b * 20.0, lambda: setattr(self.data_plane, "slowdown", 1.0))
 
-    def silence(self, a, b, c):
-        self.reports_off = self.now + a * 16.0
+    def stop_reports(self, a, b, c):
+        self.reports_stopped_until_ms = self.now_ms + a * 16.0
 
-    def cut(self, a, b, c):
-        if self.reached:
-            self.reached = False
+    def disconnect_channel(self, a, b, c):
+        if self.channel_available:
+            self.channel_available = False
             self.inbox.append(core.PushChannelStatus(False))
-            self.rules.set_channel_available(self.now, False)
-            self.after(50.0 + a * 8, self.uncut)
+            self.rule_checker.set_channel_available(self.now_ms, False)
+            self.schedule(50.0 + a * 8, self.restore_channel)
 
-    def uncut(self):
-        if not self.reached:
-            self.reached = True
+    def restore_channel(self):
+        if not self.channel_available:
+            self.channel_available = True
             self.inbox.append(core.PushChannelStatus(True))
-            self.rules.set_channel_available(self.now, True)
+            self.rule_checker.set_channel_available(self.now_ms, True)
 
-    def shift(self, a, b, c):
+    def shift_demand(self, a, b, c):
         pieces = list(self.demand)
         hot, usual = pieces[a % len(pieces)], sum(self.demand.values()) / len(pieces)
         gain = min(usual * (b % 4), 0.2 * usual * len(pieces))
@@ -288,10 +325,10 @@
         for piece in pieces:
             self.demand[piece] -= gain * self.demand[piece] / rest if piece is not hot else -gain
 
-    def repeat(self, a, b, c):
+    def repeat_events(self, a, b, c):
         """Answers and lists that were told before, and what nobody asked for."""
         proxies = list(self.registry.proxies.values())
-        joined = [v.proxy for v in self.plane.connected_proxies()]
+        joined = [v.proxy for v in self.data_plane.connected_proxies()]
         if joined:
             proxy = joined[a % len(joined)]
             serial = self.registry.controller.observed.channel.last_serial
@@ -308,57 +345,57 @@
         if c & 1:
             self.inbox.append(core.EndpointListUpdate(core.ListScope.FAILED, []))
 
-    def stand_still(self, a, b, c):
+    def stall_controller(self, a, b, c):
         """The controller makes no turn; all comes at once afterwards."""
-        if not self.draining and self.now - self.failed_at > 5000:
-            self.busy_till = self.now + a * 4.0
+        if not self.draining and self.now_ms - self.failed_at_ms > 5000:
+            self.stalled_until_ms = self.now_ms + a * 4.0
 
     STEPS = (
         wait,
         drain,
-        replace,
-        fail,
-        proxy,
-        custody,
+        replace_drained,
+        fail_servers,
+        toggle_proxy,
+        unassign_slices,
         slow_server,
         slow_channel,
-        silence,
-        cut,
-        shift,
-        repeat,
-        stand_still,
+        stop_reports,
+        disconnect_channel,
+        shift_demand,
+        repeat_events,
+        stall_controller,
         drain,
-        replace,
+        replace_drained,
     )
 
     # The world
 
-    def after(self, wait, call):
-        self.ordinal += 1
-        self.later.append((self.now + wait, self.ordinal, call))
+    def schedule(self, wait, call):
+        self.action_serial += 1
+        self.scheduled.append((self.now_ms + wait, self.action_serial, call))
 
-    def brought(self):
+    def request_rates(self):
         """Operations a second that the proxies send to each server."""
-        views, brought = self.plane.connected_proxies(), {}
+        views, brought = self.data_plane.connected_proxies(), {}
         for view in views:
-            for piece in self.plane.assigned_slices:
+            for piece in self.data_plane.assigned_slices:
                 for server, part in view.traffic_shares(piece).items():
                     brought[server] = brought.get(server, 0.0) + part * self.demand[piece] / max(
                         1, len(views)
                     )
         return brought
 
-    def reports(self):
+    def send_reports(self):
         told = []
-        for server, rate in self.brought().items():
+        for server, rate in self.request_rates().items():
             tries = int(rate)
-            used = rate / 100.0 * self.slowness.get(server, 1.0)
+            used = rate / 100.0 * self.slowdowns.get(server, 1.0)
             bad = (
                 tries
                 if self.servers[server] != "up"
                 else int(tries * max(0.0, min(0.9, used - 1.2)))
             )
-            slow = 60.0 * (1 + 6 * max(0.0, used - 0.6)) * self.slowness.get(server, 1.0)
+            slow = 60.0 * (1 + 6 * max(0.0, used - 0.6)) * self.slowdowns.get(server, 1.0)
             if tries:
                 told.append(
                     core.ServerLoadReport(
@@ -371,26 +408,28 @@
                         core.ServerLoad(in_flight=used * 3),
                     )
                 )
-        for piece in self.plane.assigned_slices:
+        for piece in self.data_plane.assigned_slices:
             told += [
                 core.SliceLoadReport(piece, k, int(self.demand[piece] * share), 0, 1000.0)
                 for k, share in enumerate((0.7, 0.3)[: len(self.settings.request_classes)])
             ]
-        if self.now >= self.reports_off:
-            self.after(300.0 + 900.0 * self.chance.draw(), lambda: self.inbox.extend(told))
+        if self.now_ms >= self.reports_stopped_until_ms:
+            self.schedule(
+                300.0 + 900.0 * self.random_numbers.draw(), lambda: self.inbox.extend(told)
+            )
 
-    def carry_out(self, orders):
+    def process_orders(self, orders):
         well_formed(orders, self.registry)
         for o in orders:
             self.digest.update(told(o).encode())
-        self.react(orders)
-        self.rules.observe_orders(self.now, orders, self.plane)
+        self.apply_orders(orders)
+        self.rule_checker.observe_orders(self.now_ms, orders, self.data_plane)
 
-    def react(self, orders):
+    def apply_orders(self, orders):
         """What the world makes of one turn's orders."""
         for o in orders:
             if type(o) is core.StartTimer:
-                self.timers.append((self.now + o.delay_ms, o.timer_id))
+                self.timers.append((self.now_ms + o.delay_ms, o.timer_id))
             elif type(o) is core.SendHealthCheck:
                 how = self.servers[o.server]
                 outcome, wait = {
@@ -398,13 +437,13 @@
                     "down": (core.HealthCheckOutcome.REFUSED, 5.0),
                     "hung": (core.HealthCheckOutcome.TIMED_OUT, 500.0),
                 }[how]
-                self.after(
+                self.schedule(
                     wait,
                     lambda s=o.server, w=outcome, t=wait: self.inbox.append(
                         core.HealthCheckResult(s, w, t)
                     ),
                 )
-        self.plane.apply_orders(
+        self.data_plane.apply_orders(
             [
                 o
                 for o in orders
@@ -412,45 +451,49 @@
             ]
         )
 
-    def turn(self):
-        if self.now < self.busy_till:
+    def reconcile(self):
+        if self.now_ms < self.stalled_until_ms:
             return
-        rung = [t for t in self.timers if t[0] <= self.now]
-        self.timers = [t for t in self.timers if t[0] > self.now]
+        rung = [t for t in self.timers if t[0] <= self.now_ms]
+        self.timers = [t for t in self.timers if t[0] > self.now_ms]
         if self.inbox or rung:
             self.registry.pending_events = self.inbox + [
                 core.TimerFired(tag) for _, tag in sorted(rung)
             ]
             self.inbox = []
-            self.carry_out(self.registry.reconcile(self.now))
-
-    def go(self, ms):
-        end = self.now + ms
-        while self.now < end:
-            self.now += TICK
-            due = sorted(x for x in self.later if x[0] <= self.now)
-            self.later = [x for x in self.later if x[0] > self.now]
+            self.process_orders(self.registry.reconcile(self.now_ms))
+
+    def run_for(self, ms):
+        end = self.now_ms + ms
+        while self.now_ms < end:
+            self.now_ms += TICK_MS
+            due = sorted(x for x in self.scheduled if x[0] <= self.now_ms)
+            self.scheduled = [x for x in self.scheduled if x[0] > self.now_ms]
             for _, _, call in due:
                 call()
-            self.inbox += self.plane.advance(self.now)
-            if self.now >= self.next_report:
-                self.next_report += 1000.0
-                self.reports()
-            self.turn()
-            self.rules.check(self.now, self.plane, self.demand)
-            hold(not self.rules.violations, "broken:", *[str(b) for b in self.rules.violations[:1]])
-
-    def settled(self):
+            self.inbox += self.data_plane.advance(self.now_ms)
+            if self.now_ms >= self.next_report_ms:
+                self.next_report_ms += 1000.0
+                self.send_reports()
+            self.reconcile()
+            self.rule_checker.check(self.now_ms, self.data_plane, self.demand)
+            check(
+                not self.rule_checker.violations,
+                "broken:",
+                *[str(b) for b in self.rule_checker.violations[:1]],
+            )
+
+    def check_published_tables(self):
         """What the decisions believe of the tables is what the store has."""
-        for piece in self.plane.assigned_slices:
-            hold(
-                piece.published == self.plane.store[piece],
+        for piece in self.data_plane.assigned_slices:
+            check(
+                piece.published == self.data_plane.store[piece],
                 "slice",
                 piece.id,
                 "is believed",
                 {s.id: w for s, w in piece.published.items()},
                 "and is",
-                {s.id: w for s, w in self.plane.store[piece].items()},
+                {s.id: w for s, w in self.data_plane.store[piece].items()},
             )
 
 
@@ -462,20 +505,20 @@
     )
 
 
-def played(data) -> Day:
+def run_scenario(data) -> Scenario:
     seed = int.from_bytes(hashlib.blake2b(data[:HEAD], digest_size=4).digest(), "big")
-    day = Day(Draw(data[:HEAD].ljust(HEAD, b"\0")), seed)
-    begun = day.now
-    day.go(1500.0)
+    scenario = Scenario(Draw(data[:HEAD].ljust(HEAD, b"\0")), seed)
+    begun = scenario.now_ms
+    scenario.run_for(1500.0)
     for begin in range(HEAD, len(data), 4):
         op, a, b, c = data[begin : begin + 4].ljust(4, b"\0")
-        if day.now - begun > LONGEST:
+        if scenario.now_ms - begun > LONGEST:
             break
-        Day.STEPS[op % len(Day.STEPS)](day, a, b, c)
-        day.go(TICK * (1 + (op >> 4) * 2))
-    day.go(4000.0)
-    day.settled()
-    return day
+        Scenario.STEPS[op % len(Scenario.STEPS)](scenario, a, b, c)
+        scenario.run_for(TICK_MS * (1 + (op >> 4) * 2))
+    scenario.run_for(4000.0)
+    scenario.check_published_tables()
+    return scenario
 
 
 def days() -> list:
@@ -488,7 +531,7 @@
     alone = [
         bytes([2, 1, 2, 32, 1, 1, 1, 0, 0])
         + bytes([k | 0xF0, 9 * k % 256, 40, k, 0xF0, 0, 0, 0, k | 0xF0, 3, 2, 1])
-        for k in range(len(Day.STEPS))
+        for k in range(len(Scenario.STEPS))
     ]
     release = (
         bytes([1, 1, 2, 32, 1, 1, 0, 0, 0])
@@ -507,16 +550,16 @@
 
 @register(
     name="days",
-    about="drawn days against the five rules as written in code",
+    description="drawn days against the five rules as written in code",
     seeds=days,
     covers=("policy", "state", "registry"),
     engine="hypothesis",
-    step=4,
-    head=HEAD,
-    most=HEAD + 72,
+    step_size=4,
+    header_size=HEAD,
+    max_size=HEAD + 72,
 )
 def run_day(data):
-    played(data)
+    run_scenario(data)
 
 
 # Wild events: nothing about them is likely, all of it is within the interface.
@@ -526,7 +569,7 @@
     return draw.choice((0.0, 1.0, 0.5, 1e-9, 3.0, 100.0, 2500.0, 1e6, 1e-300, 65535.0))
 
 
-def wild_event(draw, registry, now):
+def arbitrary_event(draw, registry, now):
     server, piece = registry.server(f"s{draw.below(7)}"), registry.slice(draw.below(6))
     proxy = registry.proxy(draw.below(5))
     kind = draw.below(12)
@@ -576,10 +619,10 @@
     )[kind - 1]
 
 
-def wild_settings(draw):
+def arbitrary_settings(draw):
     flags = draw.byte()
     return core.Settings(
-        request_classes=[core.RequestClass(1000.0, 3000.0, **KINDS[flags % 5])]
+        request_classes=[core.RequestClass(1000.0, 3000.0, **REQUEST_CLASS_VARIANTS[flags % 5])]
         * (1 + (flags >> 6 & 1))
         + [core.RequestClass(draw.choice((0.0, 1e-3, 2000.0)), 1e6, own_zone_only=bool(flags & 8))],
         zone_count=3,
@@ -608,12 +651,12 @@
 
 def wild(data):
     draw = Draw(data)
-    settings = wild_settings(draw)
+    settings = arbitrary_settings(draw)
     registry, now, digest = ObjectRegistry(settings, 7), 1000.0, hashlib.blake2b(digest_size=12)
-    while not draw.over:
+    while not draw.exhausted:
         now += draw.choice((0.0, 1.0, 50.0, 250.0, 1000.0, 5000.0, 1e7))
         registry.pending_events = [
-            wild_event(draw, registry, now) for _ in range(1 + draw.below(4))
+            arbitrary_event(draw, registry, now) for _ in range(1 + draw.below(4))
         ]
         if draw.below(4) == 3:
             registry.pending_events.append(core.TimerFired(0))
@@ -628,7 +671,7 @@
                 server.guaranteed_capacity,
                 server.relative_latency,
             ):
-                hold(
+                check(
                     math.isfinite(value) and value >= -1e-6,
                     "server",
                     server.id,
@@ -648,10 +691,10 @@
 
 @register(
     name="wild",
-    about="events and settings of every kind: no exception, only orders that make sense",
+    description="events and settings of every kind: no exception, only orders that make sense",
     seeds=wilds,
     covers=("policy", "state", "registry"),
-    most=300,
+    max_size=300,
 )
 def run_wild(data):
     wild(data)
@@ -686,15 +729,15 @@
 def digest_of(data) -> str:
     """What a program orders, in short: a day where its first bit says so, else wild events."""
     if data[:1] and data[0] & 1:
-        return played(data[1 : 1 + HEAD + 16]).digest.hexdigest()
+        return run_scenario(data[1 : 1 + HEAD + 16]).digest.hexdigest()
     return wild(data[1:])
 
 
 @register(
     name="same",
-    about="the same events give the same orders in a process with another hash seed",
-    step=1,
-    most=200,
+    description="the same events give the same orders in a process with another hash seed",
+    step_size=1,
+    max_size=200,
     covers=("policy", "state"),
     seeds=lambda: [b"\1" + d[:60] for d in days()] + [b"\0" + d for d in wilds()],
 )
@@ -703,4 +746,4 @@
         TWIN.append(Twin())
     here = digest_of(data)
     there = TWIN[0].ask(data)
-    hold(there == here, "orders differ between two processes:", here, there)
+    check(there == here, "orders differ between two processes:", here, there)
--- a/fuzz/targets/machines.py
+++ b/fuzz/targets/machines.py
@@ -15,7 +15,7 @@
 from havendyke.net.slots import SlotTable
 
 from ..draw import Draw
-from ..registry import hold, register
+from ..registry import check, register
 from .world import known, listed, raw_config
 
 SERVERS = [f"s{k}" for k in range(1, 7)]
@@ -65,18 +65,18 @@
                 for order in orders.values():
                     apply_order(expected, order)
                 changed = [s for s in expected if not tables_match(expected[s], known[s])]
-                hold(not changed, "retried without a snapshot: slices", changed)
+                check(not changed, "retried without a snapshot: slices", changed)
             resolve(orders, carried_out)
 
         relay.call_resolved = call_resolved
 
     def run(self, data):
         draw = Draw(data)
-        while not draw.over and self.hub.time - self.began < SPAN:
+        while not draw.exhausted and self.hub.time - self.began < SPAN:
             step, a, b, c = draw.choice(self.steps), draw.byte(), draw.byte(), draw.byte()
             step(self, a, b, c)
             self.world.event_loop.run()
-            hold(not self.hub.counters.get("failures"), "a failure:", self.hub.logged[-3:])
+            check(not self.hub.counters.get("failures"), "a failure:", self.hub.logged[-3:])
         self.rest()
 
     def rest(self):
@@ -95,25 +95,25 @@
             # further.
             self.world.run_for(REST)
             wrong = self.world.disagreements()
-        hold(not wrong, *wrong[:4])
+        check(not wrong, *wrong[:4])
         failed = [
             told for told in self.hub.logged if told[0] in ("failure", "reconciliation_failed")
         ]
-        hold(not failed, "a failure:", failed[:2])
+        check(not failed, "a failure:", failed[:2])
         ended = [c for c in self.assigner.collectors.clients if c.connection.ended]
-        hold(not ended, len(ended), "callers hold a place though they have ended")
+        check(not ended, len(ended), "callers hold a place though they have ended")
         slots, deadlines = (
             len(self.hub.slots),
             sum(d.callback is not None for d in self.hub.deadlines.heap),
         )
-        hold(
+        check(
             slots <= SLOTS + len(self.assigner.registry.servers),
             slots,
             "slots in use at rest:",
             [c.peer.name for c in self.hub.slots],
         )
-        hold(deadlines <= DEADLINES, deadlines, "deadlines at rest")
-        hold(
+        check(deadlines <= DEADLINES, deadlines, "deadlines at rest")
+        check(
             self.assigner.discovery.version == self.registry.version,
             "the list is of version",
             self.assigner.discovery.version,
@@ -123,7 +123,7 @@
         states = {
             s.id: s.state for s in self.assigner.registry.controller.servers if s.id in SERVERS
         }
-        hold(set(states.values()) == {"ready"}, "servers are", states)
+        check(set(states.values()) == {"ready"}, "servers are", states)
 
     # Steps
 
@@ -253,7 +253,7 @@
 
     def spoilt_entry(self, a, b, c):
         draw = Draw(bytes([a, b, c]))
-        odd = draw.odd()
+        odd = draw.unusual_value()
         if type(odd) is not int or abs(odd) < 1 << 63:  # the stand-in's JSON has no longer ones
             self.registry.corrupt_fields = {
                 draw.choice(("state", "boot_ms", "capacity_hint", "az")): odd
@@ -377,12 +377,12 @@
 def play(name, about, steps, covers, **limits):
     @register(
         name=name,
-        about=about,
+        description=about,
         seeds=lambda: programs(steps),
         covers=covers,
         engine="hypothesis",
-        step=4,
-        most=96,
+        step_size=4,
+        max_size=96,
     )
     def run(data):
         Play(steps, **limits).run(data)
@@ -439,16 +439,16 @@
 
 @register(
     name="deadlines",
-    about="deadlines added, dropped and due in any order, against a sorted list",
+    description="deadlines added, dropped and due in any order, against a sorted list",
     seeds=lambda: [bytes([0, 9, 0, 3, 2, 5, 1, 0, 2, 20]), bytes([0, 1, 1, 0] * 60 + [2, 9])],
     covers=("net/deadlines",),
-    step=2,
-    most=400,
+    step_size=2,
+    max_size=400,
 )
 def deadlines(data):
     draw, made, plain, rung, now = Draw(data), DeadlineQueue(), [], [], 0.0
     handles, serial = [], 0
-    while not draw.over:
+    while not draw.exhausted:
         kind, value = draw.below(4), draw.byte()
         if kind in (0, 3):
             at = now + value % 32 * (1 if kind == 0 else 0.25)
@@ -467,23 +467,23 @@
             rung.clear()
             for call in made.pop_due(now):
                 call()
-            hold(rung == [k for _, k in due], "due", rung, "in place of", due)
+            check(rung == [k for _, k in due], "due", rung, "in place of", due)
         first = min(plain)[0] if plain else None
-        hold(made.next_at_ms() == first, "the first is", made.next_at_ms(), "not", first)
-        hold(len(made.heap) <= 2 * len(plain) + 130, len(made.heap), "kept for", len(plain))
+        check(made.next_at_ms() == first, "the first is", made.next_at_ms(), "not", first)
+        check(len(made.heap) <= 2 * len(plain) + 130, len(made.heap), "kept for", len(plain))
 
 
 @register(
     name="slots",
-    about="numbered slots against a plain set",
+    description="numbered slots against a plain set",
     covers=("net/slots",),
-    step=2,
-    most=200,
+    step_size=2,
+    max_size=200,
     seeds=lambda: [bytes([0, 0] * 6 + [1, 2, 1, 2, 0, 0]), bytes([1, 0, 0, 1, 0, 2])],
 )
 def slots(data):
     draw, made, held = Draw(data), SlotTable(5), {}
-    while not draw.over:
+    while not draw.exhausted:
         if draw.flag():
             number = draw.below(5)
             made.release(number)
@@ -491,21 +491,21 @@
         else:
             item = object()
             number = made.acquire(item)
-            hold((number is None) == (len(held) == 5), "slot", number, "with", len(held), "held")
+            check((number is None) == (len(held) == 5), "slot", number, "with", len(held), "held")
             if number is not None:
-                hold(number not in held, "slot", number, "was given twice")
+                check(number not in held, "slot", number, "was given twice")
                 held[number] = item
             draw.byte()
-        hold(len(made) == len(held) and set(made) == set(held.values()), "slots differ")
+        check(len(made) == len(held) and set(made) == set(held.values()), "slots differ")
 
 
 @register(
     name="events",
-    about="a turn's failing events beside good ones: the good ones count, the look goes on",
+    description="a turn's failing events beside good ones: the good ones count, the look goes on",
     covers=("net/assigner",),
     seeds=lambda: [bytes([0, 1, 2, 3] * 4), bytes([3, 3, 0, 0] * 3), bytes([1, 0] * 8)],
-    step=2,
-    most=40,
+    step_size=2,
+    max_size=40,
 )
 def events(data):
     draw, turns = Draw(data), [0]
@@ -528,7 +528,7 @@
     play_ = Play((Play.wait,), before)
     assigner = play_.assigner
     server = assigner.registry.server("s1")
-    while not draw.over:
+    while not draw.exhausted:
         kind, number = draw.below(4), draw.byte() % 6
         if kind < 2:
             assigner.notify(core.HealthCheckResult(server, "odd", 1.0))
@@ -540,5 +540,5 @@
     # It looks again without news, and what stood beside the failing ones was taken in.
     before = turns[0]
     play_.world.run_for(REST)
-    hold(turns[0] - before > 20, "only", turns[0] - before, "turns after failed ones")
-    hold(not play_.world.disagreements(), *play_.world.disagreements())
+    check(turns[0] - before > 20, "only", turns[0] - before, "turns after failed ones")
+    check(not play_.world.disagreements(), *play_.world.disagreements())
--- a/fuzz/targets/recovery.py
+++ b/fuzz/targets/recovery.py
@@ -20,7 +20,7 @@
 from havendyke.settings import reader, schema
 
 from ..draw import Draw
-from ..registry import hold, register
+from ..registry import check, register
 
 LISTED_STATES = (ServerState.READY, ServerState.DRAINING)
 EVIDENCE = (EvidenceSource.HEALTH_CHECK, EvidenceSource.LOAD_REPORT, EvidenceSource.SNAPSHOT)
@@ -39,10 +39,10 @@
 
 @register(
     name="records",
-    about="files of records, damaged anywhere: only what was written comes out",
-    most=400,
+    description="files of records, damaged anywhere: only what was written comes out",
+    max_size=400,
     covers=("recovery/records", "recovery/codec", "recovery/changes", "recovery/state"),
-    words=(records.MAGIC, b"\0\2", b"\0\1", b"[0,", b'"entry"', b"{}]"),
+    dictionary=(records.MAGIC, b"\0\2", b"\0\1", b"[0,", b'"entry"', b"{}]"),
     seeds=lambda: [
         FRAMES,
         FRAMES[:-1],
@@ -58,20 +58,20 @@
     try:
         schema_, made, damage = records.read_records(data)
     except records.RecordFileError as error:
-        hold("\n" not in str(error), "not one line:", str(error))
+        check("\n" not in str(error), "not one line:", str(error))
         return
     # What was accepted is, byte for byte, what would be written.
     again = records.encode_header(schema_)
     for serial, kind, fields in made:
         at = len(again)
         size = int.from_bytes(data[at : at + 4], "big")
-        hold(
+        check(
             data[at + 4 : at + 12]
             == records.checksum(data[at : at + 4], data[at + 12 : at + 12 + size], schema_),
             "a checksum",
         )
         again += data[at : at + 12 + size]
-    hold(
+    check(
         damage is None and len(again) == len(data) or damage and damage.offset == len(again),
         "read to",
         len(again),
@@ -83,7 +83,7 @@
             codec.decode(kind, fields, schema_).apply(made_of)
         except codec.RecordError:
             pass
-    hold(changes.snapshot(made_of) is not None, "no state")
+    check(changes.snapshot(made_of) is not None, "no state")
 
 
 def changed(kept: PersistedState, draw):
@@ -100,7 +100,7 @@
         made.servers.pop(uid, None)
         made.tombstones[uid] = Tombstone(0.0, ServerState.GONE, draw.below(9), None)
     elif kind == 2:
-        made.slices[draw.below(3)] = SliceTable({uid: draw.part()}, draw.flag())
+        made.slices[draw.below(3)] = SliceTable({uid: draw.fraction()}, draw.flag())
     else:
         made.ejected.pop(uid, None) if draw.flag() else made.ejected.setdefault(uid)
     return made
@@ -108,7 +108,7 @@
 
 @register(
     name="folder",
-    about=(
+    description=(
         "commits, new generations, crashes at any call, bits flipped: one of the states that were"
     ),
     covers=(
@@ -118,8 +118,8 @@
         "recovery/changes",
     ),
     engine="hypothesis",
-    step=4,
-    most=80,
+    step_size=4,
+    max_size=80,
     seeds=lambda: [
         bytes([0, k, 0, 0, 1, k, 9, 0, 2, k, 3, 0, 3, k, 7, 1, 0, 5, 5, 0])
         for k in (0, 7, 40, 90, 255)
@@ -158,16 +158,18 @@
                 flipped = True
         made = StateDirectory(SimulatedDisk(memory), 400)
         found = made.open()
-        hold(found.state in committed, "a state that never was:", found.findings)
+        check(found.state in committed, "a state that never was:", found.findings)
         # Without damage nothing that was acknowledged is lost.
-        hold(
+        check(
             flipped or found.state in (present, committed[-1]),
             "older than what was acknowledged:",
             found.findings,
         )
         present = found.state
         committed.append(deepcopy(present))
-    hold(sum(n.startswith("damaged") for n in memory.live) <= 5, "more damaged files than are kept")
+    check(
+        sum(n.startswith("damaged") for n in memory.live) <= 5, "more damaged files than are kept"
+    )
 
 
 COLD = 16_000.0
@@ -175,11 +177,11 @@
 
 @register(
     name="beliefs",
-    about="lists, evidence, restarts and set clocks: drains hold, trust is earned",
+    description="lists, evidence, restarts and set clocks: drains hold, trust is earned",
     covers=("recovery/trust", "recovery/reconciliation", "recovery/timestamps"),
     engine="hypothesis",
-    step=4,
-    most=120,
+    step_size=4,
+    max_size=120,
     seeds=lambda: [bytes([k, a, 40, 3] * 4) for k in range(7) for a in (0, 9)],
 )
 def beliefs(data):
@@ -201,12 +203,12 @@
                 wall += b * b * 1000.0
             made = ServerReconciler(kept, now(), COLD)
             for one in made.assessments:
-                hold(
+                check(
                     0.0 <= one.trust <= 1.0 and math.isfinite(one.started_ms),
                     "a trust of",
                     one.trust,
                 )
-                hold(
+                check(
                     one.state != "ready" or one.uid not in drained,
                     "a drained server is ready:",
                     one,
@@ -225,31 +227,31 @@
             told = made.apply_listed(
                 uid, ServerRecord(started_ms=float(b % 3), list_version=last), now()
             )
-            hold(told.state == "ready", "the newest list is not believed of", uid)
+            check(told.state == "ready", "the newest list is not believed of", uid)
             drained.pop(uid, None)
         elif kind == 5:
             one = made.apply_evidence(uid, EVIDENCE[b % 3], now())
-            hold(one is None or uid not in drained, "evidence lifts a drain:", one)
-            hold(one is None or 0.0 < one.trust < 1.0, "evidence makes a trust of", one)
+            check(one is None or uid not in drained, "evidence lifts a drain:", one)
+            check(one is None or 0.0 < one.trust < 1.0, "evidence makes a trust of", one)
         else:
             made.apply_unlisted(uid, now())
             if uid in kept.tombstones:
                 drained[uid] = 0
         for name, row in kept.servers.items():
-            hold(row.state in LISTED_STATES, name, "is", row.state)
-        hold(len(kept.tombstones) <= MAX_TOMBSTONES, "tombstones without bound")
+            check(row.state in LISTED_STATES, name, "is", row.state)
+        check(len(kept.tombstones) <= MAX_TOMBSTONES, "tombstones without bound")
         copy = PersistedState()
         for change in changes.snapshot(kept):
             codec.decode(*codec.encode(change)).apply(copy)
-        hold(copy == kept, "a snapshot leads elsewhere")
+        check(copy == kept, "a snapshot leads elsewhere")
 
 
 @register(
     name="operator",
-    about="the operator's file as text: read, or refused in one line with its place",
-    most=300,
+    description="the operator's file as text: read, or refused in one line with its place",
+    max_size=300,
     covers=("settings/reader", "settings/grammar", "settings/schema", "settings/values"),
-    words=(
+    dictionary=(
         b"[state]\n",
         b"folder /x\n",
         b"gather 5ms\n",
@@ -278,7 +280,7 @@
 )
 def operator(data):
     def load(path):
-        hold(path.startswith("/"), "looked at", path)
+        check(path.startswith("/"), "looked at", path)
         if path != "/etc/main":
             raise reader.OperatorFileError(f"{path}: No such file or directory")
         try:
@@ -290,7 +292,7 @@
         file = reader.load_files("/etc/main", load)
         made = {name: reader.resolve(file, name) for name in file.sections}
     except reader.OperatorFileError as error:
-        hold(
+        check(
             "\n" not in str(error) and str(error).startswith("/"),
             "not one line with its place:",
             str(error),
@@ -299,7 +301,7 @@
     for name, values in made.items():
         for key, value in values.items():
             of = schema.keys_of(name)[key]
-            hold(
+            check(
                 not of.kind.is_number or of.minimum <= value <= of.maximum,
                 key,
                 "is",
--- a/fuzz/targets/settings.py
+++ b/fuzz/targets/settings.py
@@ -12,7 +12,7 @@
 from havendyke.net.assigner import Assigner
 
 from ..draw import Draw
-from ..registry import Broken, hold, register
+from ..registry import CheckFailed, check, register
 from .world import known, raw_config
 
 RICH = raw_config(known=known("s1", "s2"), limits={"cores": 1.0, "memory_mb": 64, "sockets": 256})
@@ -95,7 +95,7 @@
             elif how % 8 == 6 and isinstance(spot, dict):
                 spot[f"{path[-1]}x"] = 1
             elif how % 8 >= 4:
-                spot[path[-1]] = draw.odd()
+                spot[path[-1]] = draw.unusual_value()
             else:
                 spot[path[-1]] = f"@@{draw.choice(TOKENS)}@@"
             touched.append(path)
@@ -118,22 +118,22 @@
             for item in value:
                 inspect(item, name) if is_dataclass(item) else None
         elif type(value) in (int, float) and field.name != "seed":
-            hold(math.isfinite(value) and abs(value) <= 1e18, name, "is", value)
-            hold(value >= 0, name, "is", value)
+            check(math.isfinite(value) and abs(value) <= 1e18, name, "is", value)
+            check(value >= 0, name, "is", value)
             kind = (
                 field.type if isinstance(field.type, str) else getattr(field.type, "__name__", "")
             )
-            hold(kind != "int" or type(value) is int, name, "is no whole number:", value)
-            hold(kind != "bool", name, "is no truth value:", value)
+            check(kind != "int" or type(value) is int, name, "is no whole number:", value)
+            check(kind != "bool", name, "is no truth value:", value)
 
 
 @register(
     name="settings",
-    about="the configuration's file, with up to four drawn changes",
+    description="the configuration's file, with up to four drawn changes",
     covers=("config", "fields"),
     engine="hypothesis",
-    step=STEP,
-    most=4 * STEP,
+    step_size=STEP,
+    max_size=4 * STEP,
     seeds=lambda: (
         [b""]
         + [
@@ -148,10 +148,10 @@
     try:
         made = config.parse_config(text, "file", {})
     except config.ConfigError as error:
-        hold(touched != [], "a valid file is refused:", str(error))
-        hold("\n" not in str(error) and len(str(error)) < 400, "not one line:", str(error)[:500])
+        check(touched != [], "a valid file is refused:", str(error))
+        check("\n" not in str(error) and len(str(error)) < 400, "not one line:", str(error)[:500])
         named = {str(key) for path in touched for key in path + below(path) if isinstance(key, str)}
-        hold(
+        check(
             any(key in str(error) for key in named) or "not JSON" in str(error),
             "names none of",
             sorted(named),
@@ -161,25 +161,25 @@
         return
     inspect(made)
     for c in made.settings.request_classes:
-        hold(c.idempotency in core.Idempotency, "idempotency", c.idempotency)
+        check(c.idempotency in core.Idempotency, "idempotency", c.idempotency)
     try:
         assigner = Assigner(made, SimulatedEventLoop())
     except ValueError as error:
-        hold("known" in {p[0] for p in touched}, "cannot be started with:", str(error))
+        check("known" in {p[0] for p in touched}, "cannot be started with:", str(error))
         return
     hub = assigner.event_loop
     assigner.start()
     hub.run_for(600)
     failed = [t for t in hub.logged if t[0] in ("failure", "reconciliation_failed")]
-    hold(not failed, "a failure:", failed[:2])
+    check(not failed, "a failure:", failed[:2])
 
 
 @register(
     name="file",
-    about="the configuration's file as bytes: truncated, garbled, deep, or of another kind",
+    description="the configuration's file as bytes: truncated, garbled, deep, or of another kind",
     covers=("config",),
-    most=600,
-    words=(b"NaN", b"{", b"}", b"[", b'"settings"', b"1e999", b"\xff", b"null"),
+    max_size=600,
+    dictionary=(b"NaN", b"{", b"}", b"[", b'"settings"', b"1e999", b"\xff", b"null"),
     seeds=lambda: [
         json.dumps(RICH).encode()[:600],
         b"",
@@ -198,6 +198,6 @@
     try:
         config.parse_config(data, "file", {})
     except config.ConfigError as error:
-        hold("\n" not in str(error) and len(str(error)) < 400, "not one line:", str(error)[:500])
+        check("\n" not in str(error) and len(str(error)) < 400, "not one line:", str(error)[:500])
     else:
-        raise Broken("taken though it names nothing")
+        raise CheckFailed("taken though it names nothing")
--- a/fuzz/targets/streams.py
+++ b/fuzz/targets/streams.py
@@ -9,7 +9,7 @@
 
 from .. import reference
 from ..draw import Draw
-from ..registry import hold, register
+from ..registry import check, register
 
 MOST, LEAST, HEADLINE = 600, 16, 200
 EVERY = 160  # bytes up to which an input is cut at every position; drawn cuts beyond
@@ -75,7 +75,7 @@
                         if isinstance(item, list)
                         else bytes(item)
                     )
-                hold(
+                check(
                     len(buffer.data) <= max(2 * LEAST, 2 * fed + LEAST),
                     "a buffer of",
                     len(buffer.data),
@@ -86,7 +86,7 @@
         verdict = "bad"
     # Bytes are copied at each growth and searched anew in the part that came: a constant for a byte
     # in all.
-    hold(
+    check(
         Counted.looked <= WORK * fed + HEADS * (pieces + len(found) + 1),
         "work of",
         Counted.looked,
@@ -101,17 +101,17 @@
 
 def same_however_cut(make, told, data: bytes, tail: bytes):
     whole = read(make, data, [])
-    hold(whole == told, "read", whole, "where a plain reader has", told)
+    check(whole == told, "read", whole, "where a plain reader has", told)
     if len(data) <= EVERY:
         for cut in range(1, len(data)):
             seen = read(make, data, [cut])
-            hold(seen == whole, "cut at", cut, "gives", seen, "in place of", whole)
+            check(seen == whole, "cut at", cut, "gives", seen, "in place of", whole)
         cuts = range(1, len(data))
     else:
         draw = Draw(tail)
         cuts = sorted({1 + draw.below(len(data) - 1) for _ in range(12)})
     seen = read(make, data, cuts)
-    hold(seen == whole, "cut at", list(cuts)[:20], "gives", seen, "in place of", whole)
+    check(seen == whole, "cut at", list(cuts)[:20], "gives", seen, "in place of", whole)
 
 
 def begun(told):
@@ -145,10 +145,10 @@
 
 @register(
     name="resp",
-    about="RESP2 messages of callers",
+    description="RESP2 messages of callers",
     seeds=lambda: RESP_SEEDS,
     covers=("net/resp", "net/buffer"),
-    words=(
+    dictionary=(
         b"\r\n",
         b"*",
         b"$",
@@ -179,10 +179,10 @@
 
 @register(
     name="lines",
-    about="lines of the relay and of discovery",
+    description="lines of the relay and of discovery",
     seeds=lambda: LINE_SEEDS,
     covers=("net/json_lines", "net/buffer"),
-    words=(b"\n", b"\r\n", b"\r"),
+    dictionary=(b"\n", b"\r\n", b"\r"),
 )
 def lines(data):
     same_however_cut(LineParser, reference.lines(data, MOST), data, data[-12:])
@@ -224,10 +224,10 @@
 
 @register(
     name="http",
-    about="answers of discovery and of probed servers",
+    description="answers of discovery and of probed servers",
     seeds=lambda: HTTP_SEEDS,
     covers=("net/http", "net/buffer"),
-    words=(
+    dictionary=(
         b"HTTP/1.1 ",
         b"200",
         b"Transfer-Encoding: chunked\r\n",
@@ -259,7 +259,7 @@
     def step(self, kind, size):
         if kind == 0:
             room = self.buffer.free_space()
-            hold(len(room) > 0, "no room without an error")
+            check(len(room) > 0, "no room without an error")
             count = min(size, len(room))
             self.serial = (self.serial + 1) % 256
             told = bytes([self.serial]) * count
@@ -282,8 +282,8 @@
             self.buffer.release()
             self.bytes = b""
         held = bytes(self.buffer.data[self.buffer.start : self.buffer.end])
-        hold(held == self.bytes, "holds", held, "in place of", self.bytes)
-        hold(
+        check(held == self.bytes, "holds", held, "in place of", self.bytes)
+        check(
             self.budget.left + len(self.buffer.data) - LEAST == 4000,
             "the budget is",
             self.budget.left,
@@ -296,9 +296,9 @@
 
 @register(
     name="buffer",
-    about="a connection's buffer and the budget of all",
+    description="a connection's buffer and the budget of all",
     covers=("net/buffer",),
-    step=2,
+    step_size=2,
     seeds=lambda: [
         bytes([0, 10, 1, 5, 0, 200, 2, 255, 1, 100, 2, 255, 2, 255, 2, 255]),
         bytes([2, 255] * 4),
@@ -308,12 +308,12 @@
 )
 def buffer(data):
     draw, script = Draw(data), Script()
-    while not draw.over:
+    while not draw.exhausted:
         try:
             if not script.step(draw.below(4), draw.byte()):
                 break
         except MessageTooLongError:
-            hold(
+            check(
                 len(script.bytes) > MOST - LEAST
                 or script.budget.left < 2 * len(script.buffer.data),
                 "too long with",
@@ -322,4 +322,4 @@
             )
             break
     script.buffer.release()
-    hold(script.budget.left == 4000, "after the end the budget is", script.budget.left)
+    check(script.budget.left == 4000, "after the end the budget is", script.budget.left)
--- a/fuzz/targets/values.py
+++ b/fuzz/targets/values.py
@@ -17,7 +17,7 @@
 
 from .. import reference
 from ..draw import Draw
-from ..registry import hold, register
+from ..registry import check, register
 from .world import FAR, SETTINGS, assigner_on, listed, watch
 
 ZONES, CLASSES = SETTINGS["localities"], [c["name"] for c in SETTINGS["requestClasses"]]
@@ -26,7 +26,7 @@
 
 def finite(*figures, least=0.0, most=NEVER):
     for figure in figures:
-        hold(
+        check(
             type(figure) in (int, float) and math.isfinite(figure) and least <= figure <= most,
             "an event says",
             figure,
@@ -45,46 +45,46 @@
                 event.window_ms,
                 *(v for v in astuple(event.load) if v is not None),
             )
-            hold(
+            check(
                 event.failures <= event.attempts
                 and registry.servers.get(event.server.id) is event.server,
                 "a report",
                 event,
             )
-            hold(0 <= event.zone < len(ZONES), "zone", event.zone)
+            check(0 <= event.zone < len(ZONES), "zone", event.zone)
         case core.SliceLoadReport():
             finite(event.requests, event.failures, event.window_ms)
-            hold(
+            check(
                 0 <= event.request_class < len(CLASSES) and event.slice.id in registry.slices,
                 "a report",
                 event,
             )
         case core.EndpointListUpdate():
-            hold(
+            check(
                 event.scope
                 in (core.ListScope.CHANGES, core.ListScope.COMPLETE, core.ListScope.CACHED),
                 "scope",
                 event.scope,
             )
             for entry in event.entries:
-                hold(entry.state in ("ready", "draining", "gone"), "state", entry.state)
+                check(entry.state in ("ready", "draining", "gone"), "state", entry.state)
                 finite(entry.size)
-                hold(
+                check(
                     entry.started_ms is None or math.isfinite(entry.started_ms),
                     "a start at",
                     entry.started_ms,
                 )
-                hold(
+                check(
                     entry.started_ms is None or entry.started_ms <= assigner.event_loop.now(),
                     "a start to come",
                     entry.started_ms,
                 )
         case core.ProxyConnected():
             finite(event.request_rate)
-            hold(0 <= event.zone < len(ZONES), "zone", event.zone)
+            check(0 <= event.zone < len(ZONES), "zone", event.zone)
         case core.PushAcknowledged():
             finite(event.latency_ms)
-            hold(0 <= event.nonce < 65536, "mark", event.nonce)
+            check(0 <= event.nonce < 65536, "mark", event.nonce)
         case core.SnapshotEntry():
             finite(event.weight)
         case core.HealthCheckResult():
@@ -158,9 +158,9 @@
 
 @register(
     name="reports",
-    about="LOAD and SHARD of collectors, good neighbours beside them",
-    step=1,
-    most=400,
+    description="LOAD and SHARD of collectors, good neighbours beside them",
+    step_size=1,
+    max_size=400,
     covers=("net/wire_reports", "net/collectors", "net/resp"),
     seeds=lambda: [
         bytes([0] * 20),
@@ -178,7 +178,7 @@
     hub.establish(connection)
     watch(connection, encode("SOURCE", "az", "a"))
     events_of(assigner)
-    while not draw.over and not connection.ended:
+    while not draw.exhausted and not connection.ended:
         shard = draw.flag()
         fields = (
             {
@@ -209,25 +209,25 @@
         made += [] if draw.below(8) else ["odd"]
         watch(connection, encode(*made) + GOOD)
         came = events_of(assigner)
-        hold(not connection.ended, "a spoilt report ended its collector")
-        hold(
+        check(not connection.ended, "a spoilt report ended its collector")
+        check(
             came and isinstance(came[-1], core.ServerLoadReport) and came[-1].attempts == 7,
             "the good report behind",
             made,
             "is lost",
         )
-        hold(len(came) <= 2, "one message made", len(came) - 1, "events")
+        check(len(came) <= 2, "one message made", len(came) - 1, "events")
         if len(came) == 2 and not shard:
-            hold(
+            check(
                 came[0].attempts == reference.number(told["n"], 1e6),
                 "n is",
                 came[0].attempts,
                 "of",
                 told,
             )
-            hold(came[0].latency_ms == reference.number(told.get("avg", "0"), 1e6), "avg of", told)
+            check(came[0].latency_ms == reference.number(told.get("avg", "0"), 1e6), "avg of", told)
         if len(came) == 2 and shard:
-            hold(
+            check(
                 came[0].requests == reference.number(told["n"], 1e6),
                 "n is",
                 came[0].requests,
@@ -239,10 +239,10 @@
 
 @register(
     name="figures",
-    about="numbers and load reports as texts, against a strict reader",
+    description="numbers and load reports as texts, against a strict reader",
     covers=("net/wire_fields", "net/wire_reports"),
-    most=120,
-    words=(b"inflight", b":", b"=", b",", b"TEXT ", b"util", b"1e", b"_", b"nan", b"inf"),
+    max_size=120,
+    dictionary=(b"inflight", b":", b"=", b",", b"TEXT ", b"util", b"1e", b"_", b"nan", b"inf"),
     seeds=lambda: [
         b"1.5",
         b"1_0",
@@ -274,7 +274,7 @@
             seen = read()
         except FieldError:
             seen = None
-        hold(seen == right, "read", told, "as", seen, "in place of", right)
+        check(seen == right, "read", told, "as", seen, "in place of", right)
     try:
         for value in astuple(parse_server_load(told, 1e6)):
             finite(0.0 if value is None else value, most=1e6)
@@ -292,7 +292,7 @@
     )
     right = True
     for _ in range(draw.below(3)):
-        name, value = draw.choice(tuple(made)), draw.odd()
+        name, value = draw.choice(tuple(made)), draw.unusual_value()
         spoilt = draw.flag()
         if spoilt and draw.flag():
             made.pop(name, None)
@@ -304,8 +304,8 @@
 
 @register(
     name="list",
-    about="discovery's list, whole and in changes, with spoilt entries among good ones",
-    most=300,
+    description="discovery's list, whole and in changes, with spoilt entries among good ones",
+    max_size=300,
     covers=("net/wire_endpoint_list", "net/discovery"),
     seeds=lambda: [
         bytes(40),
@@ -319,7 +319,7 @@
     draw = Draw(data)
     assigner, hub = assigner_on()
     spoilt = []
-    while not draw.over:
+    while not draw.exhausted:
         made = [entry(draw) for _ in range(draw.below(5))]
         told = {
             "rev": draw.choice((1, 2, 40, 2**62)),
@@ -327,7 +327,7 @@
             "targets": [e for e, _ in made],
         }
         if draw.below(8) == 7:
-            told[draw.choice(tuple(told))] = draw.odd()
+            told[draw.choice(tuple(told))] = draw.unusual_value()
         try:
             told = orjson.loads(orjson.dumps(told))
         except (orjson.JSONEncodeError, TypeError):
@@ -341,11 +341,11 @@
             continue
         event, version = received.event, received.version
         sound(event, assigner)
-        hold(type(version) is int, "version", version)
+        check(type(version) is int, "version", version)
         named = {e.server.id for e in event.entries}
         for told_entry, right in made if told["targets"] == [e for e, _ in made] else ():
-            hold(not right or told_entry["uid"] in named, "the good entry", told_entry, "is lost")
-        hold(
+            check(not right or told_entry["uid"] in named, "the good entry", told_entry, "is lost")
+        check(
             len(spoilt) == before or event.scope == core.ListScope.CHANGES,
             "a spoilt list takes others for gone",
         )
@@ -354,13 +354,13 @@
             hub.time += 7
             lists = assigner.peer_codecs.endpoint_list
             again = lists.start_ms(e.server, lists.start_times[e.server].unix_ms)
-            hold(again == e.started_ms, "a start moved from", e.started_ms, "to", again)
+            check(again == e.started_ms, "a start moved from", e.started_ms, "to", again)
 
 
 @register(
     name="news",
-    about="the relay's notifications with fields of every kind",
-    most=300,
+    description="the relay's notifications with fields of every kind",
+    max_size=300,
     covers=("net/relay_stream", "net/relay_watch", "net/wire_relay"),
     seeds=lambda: [
         bytes(40),
@@ -384,7 +384,7 @@
         "ROW": {"partition": 4, "host": "s1", "share": 1.0},
         "ping": {},
     }
-    while not draw.over:
+    while not draw.exhausted:
         if stream.ended:
             hub.run_for(600)
             if not hub.open_connections("relay_watch"):
@@ -398,26 +398,26 @@
                 params[name] = draw.below(9)
         for _ in range(draw.below(3) if params else 0):
             name = draw.choice(tuple(params))
-            params[name] = draw.odd()
+            params[name] = draw.unusual_value()
         if draw.below(9) == 8:
-            params = draw.odd()
+            params = draw.unusual_value()
         try:
             message = {"jsonrpc": "2.0", "method": kind, "params": params}
             if draw.below(9) == 8:
-                message[draw.choice(("method", "id", "result", "error"))] = draw.odd()
+                message[draw.choice(("method", "id", "result", "error"))] = draw.unusual_value()
             line = orjson.dumps(message)
         except (orjson.JSONEncodeError, TypeError):
             continue
         watch(stream, line + b"\n")
         hub.run_for(draw.choice((0, 1, 70)))
         events_of(assigner)
-        hold(not hub.counters.get("failures"), "a failure:", hub.logged[-1:])
+        check(not hub.counters.get("failures"), "a failure:", hub.logged[-1:])
 
 
 @register(
     name="relay_answers",
-    about="answers to calls, with every field spoilt",
-    most=200,
+    description="answers to calls, with every field spoilt",
+    max_size=200,
     covers=("net/relay_client", "net/wire_relay", "net/json_lines"),
     seeds=lambda: [
         bytes(30),
@@ -431,7 +431,7 @@
     assigner, hub = assigner_on()
     relay = assigner.relay
     serial = 0
-    while not draw.over:
+    while not draw.exhausted:
         if not relay.call:
             serial += 1
             relay.enqueue(
@@ -464,7 +464,7 @@
                 form.get("result")
                 if spot == "taken" and isinstance(form.get("result"), dict)
                 else form
-            )[spot] = draw.odd()
+            )[spot] = draw.unusual_value()
         try:
             line = orjson.dumps(form)
         except (orjson.JSONEncodeError, TypeError):
@@ -473,26 +473,26 @@
         watch(calls[-1], line + b"\n")
         hub.run()
         if relay.call and relay.call.request_id == number:
-            hold(relay.call.orders == sent, "a stale answer changed the call under way")
+            check(relay.call.orders == sent, "a stale answer changed the call under way")
         elif "error" not in form and not relay.unresolved.orders:
-            hold(
+            check(
                 form.get("id") == number
                 and type(form["result"]["taken"]) is int
                 and 0 <= form["result"]["taken"] <= count,
                 "believed",
                 form,
             )
-        hold(not hub.counters.get("failures"), "a failure:", hub.logged[-1:])
+        check(not hub.counters.get("failures"), "a failure:", hub.logged[-1:])
         hub.run_for(draw.choice((0, 5, 120, 2000)))
         events_of(assigner)
 
 
 @register(
     name="probe",
-    about="a server's answers to probes, whole and broken at any byte",
-    most=400,
+    description="a server's answers to probes, whole and broken at any byte",
+    max_size=400,
     covers=("net/health_checks", "net/http", "net/wire_reports"),
-    words=(
+    dictionary=(
         b"HTTP/1.1 200 OK\r\n",
         b"Content-Length: ",
         b"\r\n\r\n",
@@ -520,20 +520,20 @@
     assigner.health_checker.check(server)
     (connection,) = hub.open_connections(HealthCheck.name)
     hub.establish(connection)
-    watch(connection, draw.rest())
+    watch(connection, draw.remaining_bytes())
     if end in (1, 2, 4, 5) and not connection.ended:
         connection.eof_received() if end != 4 else connection.connection_lost(
             ConnectionResetError()
         )
     hub.run_for(FAR)
     told = [e for e in events_of(assigner) if isinstance(e, core.HealthCheckResult)]
-    hold(len(told) == 1 and told[0].server is server, "a probe ended", len(told), "times")
-    hold(
+    check(len(told) == 1 and told[0].server is server, "a probe ended", len(told), "times")
+    check(
         told[0].outcome in tuple(core.HealthCheckOutcome)[:-1],
         "outcome",
         told[0].outcome,
     )
-    hold(
+    check(
         assigner.health_checker.in_flight == 0 and not hub.open_connections(HealthCheck.name),
         "a probe's place is not free again",
     )
--- a/fuzz/targets/world.py
+++ b/fuzz/targets/world.py
@@ -7,7 +7,7 @@
 from havendyke.lab.event_loop import SimulatedEventLoop, feed
 from havendyke.net.assigner import Assigner
 
-from ..registry import hold
+from ..registry import check
 
 FAR = 5000.0  # ms after which every deadline of a single question has passed
 
@@ -78,7 +78,7 @@
     it."""
     feed(connection, data)
     connection.event_loop.run()
-    hold(
+    check(
         not connection.event_loop.counters.get("failures"),
         "a failure:",
         connection.event_loop.logged[-1:],
--- a/fuzz/targets/xds.py
+++ b/fuzz/targets/xds.py
@@ -4,7 +4,7 @@
 from havendyke.xds.resources import CLUSTER, ENDPOINTS, ORDER, ROUTES, Snapshot, resource
 from havendyke.xds.stream import Answered, Ask, BadRequest, Stream
 
-from ..registry import hold, register
+from ..registry import check, register
 
 NAMES = "abcd"
 
@@ -20,7 +20,7 @@
             return Ask(response.kind, nonce=response.nonce, error="cannot use it")
         for one in response.put:
             before = self.held[response.kind].get(one.name)
-            hold(
+            check(
                 before is None or before.version != one.version,
                 response.kind,
                 one.name,
@@ -32,7 +32,7 @@
         for kind in ORDER:
             for one in self.held[kind].values():
                 for need in one.needs:
-                    hold(
+                    check(
                         need[1] in self.held[need[0]],
                         kind,
                         one.name,
@@ -69,11 +69,11 @@
 
 @register(
     name="streams",
-    about="xDS streams with a forwarder that refuses, repeats, breaks off and comes back",
+    description="xDS streams with a forwarder that refuses, repeats, breaks off and comes back",
     covers=("xds/stream", "xds/resources"),
     engine="hypothesis",
-    step=3,
-    most=240,
+    step_size=3,
+    max_size=240,
     seeds=lambda: [
         bytes([0, 3, 1, 4, 0, 0] * 6),
         bytes([0, 1, 0, 3, 0, 0, 4, 0, 0, 0, 14, 9, 4, 0, 0, 4, 0, 0]),
@@ -111,7 +111,7 @@
             inbox = forwarder.begin(stream)
         elif kind % 6 == 3:
             try:
-                hold(
+                check(
                     stream.ask(Ask(ORDER[a % 5], nonce=f"old{b}")) == [],
                     "a stale answer brought something",
                 )
@@ -119,20 +119,20 @@
                 pass
         elif inbox:
             inbox += stream.ask(forwarder.apply(inbox.pop(0)))
-        hold(stream.under_way() <= 5 * 64, "under way:", stream.under_way())
+        check(stream.under_way() <= 5 * 64, "under way:", stream.under_way())
     now = now.changed(mark + 1, [i for n in NAMES for i in pair(n, b"end")] + [routes(list(NAMES))])
     inbox += stream.offer(now)
     for _ in range(400):
         if not inbox:
             break
         inbox += stream.ask(forwarder.apply(inbox.pop(0)))
-    hold(not inbox, "it never comes to rest")
+    check(not inbox, "it never comes to rest")
     for kind in ORDER:
-        hold(
+        check(
             {n: o.version for n, o in forwarder.held[kind].items()}
             == {n: o.version for n, o in now.types[kind].items()},
             kind,
             "is held as",
             sorted(forwarder.held[kind]),
         )
-    hold(Answered(mark + 1) in stream.told, "the last mark is not answered")
+    check(Answered(mark + 1) in stream.told, "the last mark is not answered")
--- a/tests/fuzz/test_replay.py
+++ b/tests/fuzz/test_replay.py
@@ -23,10 +23,10 @@
 @pytest.mark.parametrize("name", NAMES)
 def test_kept_inputs_run_clean(name):
     target = registry.target(name)
-    for where, data in cases.kept(target):
-        error = cases.failure(target, data)
+    for where, data in cases.kept_inputs(target):
+        error = cases.run_and_catch(target, data)
         assert error is None, f"{where}: {error}"
-    assert all(len(data) <= cases.LARGEST for _, data in cases.kept(target))
+    assert all(len(data) <= cases.MAX_INPUT_BYTES for _, data in cases.kept_inputs(target))
 
 
 @pytest.mark.parametrize(
@@ -64,7 +64,7 @@
             return [made]
 
         monkeypatch.setattr(engine, "run", run)
-        monkeypatch.setattr(engine, "found", lambda target: [])
+        monkeypatch.setattr(engine, "minimised_findings", lambda target: [])
         done = CliRunner().invoke(program.run, ["resp", *words])
         assert done.exit_code == 0 and f"seed {seeds[0]}" in done.output
         return seeds[0]
@@ -87,7 +87,7 @@
 
 def test_inputs_are_text_files_that_come_back_the_same(tmp_path):
     for data in (b"", bytes(range(256))):
-        assert cases.read(cases.write(tmp_path, data)) == data
+        assert cases.read_input(cases.write_input(tmp_path, data)) == data
     (tmp_path / "bad").write_text("0")
-    with pytest.raises(cases.BadCase):
-        cases.read(tmp_path / "bad")
+    with pytest.raises(cases.InvalidInput):
+        cases.read_input(tmp_path / "bad")
--- a/tests/test_hypothesis_profile.py
+++ b/tests/test_hypothesis_profile.py
@@ -95,9 +95,9 @@
         def one(data):
             drawn.append(data)
 
-        child.batch(one, st.binary(min_size=4, max_size=40), seed)()
+        child.batch_test(one, st.binary(min_size=4, max_size=40), seed)()
         return drawn
 
     first = searched(1)
-    assert len(first) == child.BATCH
+    assert len(first) == child.EXAMPLES_PER_BATCH
     assert searched(1) == first and searched(2) != first
