--- a/fuzz/__main__.py
+++ b/fuzz/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m fuzz`: the tools round the targets. Bad input is one line on standard error, status
+"""The command line `python -m fuzz`. Invalid input gives one line on standard error and status
 2."""
 
 import json
@@ -21,9 +21,9 @@
 
 
 class Tools(click.Group):
-    def main(self, args=None, **more):
+    def main(self, args=None, **options):
         try:
-            return super().main(args, standalone_mode=False, **more)
+            return super().main(args, standalone_mode=False, **options)
         except click.ClickException as error:
             click.echo(f"fuzz: {error.format_message()}", err=True)
             sys.exit(2)
@@ -38,12 +38,12 @@
 
 
 @tools.command("list")
-@click.option("--json", "as_json", is_flag=True, help="One JSON line a target.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON line per target.")
 def list_(as_json):
-    """The targets, what they are for and how many inputs are kept."""
+    """List the targets, what they test and how many inputs are kept."""
     for target in chosen_targets(()):
         count = len(list((cases.CORPUS_DIR / target.name).glob("*.hex")))
-        told = {
+        summary = {
             "target": target.name,
             "engine": target.engine,
             "kept": count,
@@ -51,7 +51,7 @@
             "about": target.description,
         }
         click.echo(
-            json.dumps(told)
+            json.dumps(summary)
             if as_json
             else (
                 f"{target.name:14} {target.engine:11} {count:4} kept {len(target.seeds()):4} "
@@ -63,42 +63,42 @@
 @tools.command()
 @click.argument("names", nargs=-1)
 @click.option("--seconds", type=click.IntRange(1, 100_000), default=60, help="For each target.")
-@click.option("--jobs", type=click.IntRange(1, 64), default=1, help="Targets at a time.")
+@click.option("--jobs", type=click.IntRange(1, 64), default=1, help="Targets run in parallel.")
 @click.option(
     "--seed",
     type=click.IntRange(0, 2**31),
     default=lambda: secrets.randbelow(2**31),
-    help="Of the first target, one more for each further one; a fresh one where none is given.",
+    help="Of the first target, one higher for each further target; random if not given.",
 )
 @click.option(
     "--engine",
-    "by",
+    "engine_name",
     type=click.Choice(["atheris", "hypothesis"]),
-    help="In place of the target's own.",
+    help="Instead of the target's own engine.",
 )
-def run(names, seconds, jobs, seed, by):
-    """Fuzz targets, all where none is named. Status 1 where something was found."""
+def run(names, seconds, jobs, seed, engine_name):
+    """Fuzz the given targets, or all of them. The exit status is 1 if there are findings."""
 
-    def tell(told):
+    def print_summary(summary):
         click.echo(
-            f"{told['target']:14} {told['executions']:9} executions in {told['seconds']:.0f} s, "
-            f"{told['new']} new, "
-            f"quiet for {told['quiet']:.0f} s, {len(told['findings'])} findings, seed "
-            f"{told['seed']}" + (f"; {told['error']}" if "error" in told else "")
+            f"{summary['target']:14} {summary['executions']:9} executions "
+            f"in {summary['seconds']:.0f} s, {summary['new']} new, "
+            f"quiet for {summary['quiet']:.0f} s, {len(summary['findings'])} findings, seed "
+            f"{summary['seed']}" + (f"; {summary['error']}" if "error" in summary else "")
         )
 
     targets = chosen_targets(names)
-    made = engine.run(targets, seconds, jobs, seed, by, tell)
+    summaries = engine.run(targets, seconds, jobs, seed, engine_name, print_summary)
     for target in targets:
-        for sign, said, data in engine.minimised_findings(target):
+        for signature, message, data in engine.minimised_findings(target):
             path = cases.write_input(cases.WORK_DIR / target.name / "small", data)
             click.echo(
-                f"\n{target.name}: {sign}\n  {said}\n  python -m fuzz replay {target.name} --file "
-                f"{path}"
+                f"\n{target.name}: {signature}\n  {message}\n"
+                f"  python -m fuzz replay {target.name} --file {path}"
             )
-    if any("error" in told for told in made):
+    if any("error" in summary for summary in summaries):
         sys.exit(2)
-    sys.exit(1 if any(told["findings"] for told in made) else 0)
+    sys.exit(1 if any(summary["findings"] for summary in summaries) else 0)
 
 
 @tools.command()
@@ -107,17 +107,17 @@
     "--file",
     "path",
     type=click.Path(path_type=Path),
-    help="One input alone, for the target that is named.",
+    help="Run only this input, with one target.",
 )
 @click.option(
-    "--reach", is_flag=True, help="Tell the share of branches that the kept inputs reach."
+    "--reach", is_flag=True, help="Print the share of branches that the kept inputs reach."
 )
 def replay(names, path, reach):
-    """Run the kept inputs. Status 1 where one fails."""
-    watch = record.Branches() if reach else None
-    targets, bad, count, began = chosen_targets(names), 0, 0, time.monotonic()
+    """Run the kept inputs. The exit status is 1 if one of them fails."""
+    coverage = record.BranchCoverage() if reach else None
+    targets, failures, count, started_at = chosen_targets(names), 0, 0, time.monotonic()
     if path is not None and len(targets) != 1:
-        raise click.UsageError("--file goes with one target")
+        raise click.UsageError("--file needs exactly one target")
     for target in targets:
         for name, data in (
             [(str(path), cases.read_input(path))] if path is not None else cases.kept_inputs(target)
@@ -125,37 +125,40 @@
             count += 1
             error = cases.run_and_catch(target, data)
             if error is not None:
-                bad += 1
+                failures += 1
                 click.echo(f"{target.name}: {name}: {cases.signature(error)}: {str(error)[:400]}")
     click.echo(
-        f"{count} inputs of {len(targets)} targets, {bad} fail, {time.monotonic() - began:.1f} s"
+        f"{count} inputs of {len(targets)} targets, {failures} fail, "
+        f"{time.monotonic() - started_at:.1f} s"
     )
-    if watch:
-        for name, share, branches in watch.shares():
+    if coverage:
+        for name, share, branches in coverage.branch_shares():
             click.echo(f"  {name:32} {share:6.1%} of {branches} branches")
-    sys.exit(1 if bad else 0)
+    sys.exit(1 if failures else 0)
 
 
 @tools.command("minimise")
 @click.argument("name")
 @click.argument("path", type=click.Path(path_type=Path))
 @click.option(
-    "--keep", is_flag=True, help="Keep the small input among the findings, which replay runs."
+    "--keep", is_flag=True, help="Keep the minimised input among the findings, which replay runs."
 )
 def minimise_(name, path, keep):
-    """Make an input that fails as small as it gets."""
+    """Minimise a failing input."""
     target = registry.target(name)
     data = cases.read_input(path)
-    small, tries = minimise.shrink(target, data)
+    small, attempts = minimise.shrink(target, data)
     error = cases.run_and_catch(target, small)
     if error is None:
-        click.echo(f"{path} does not fail; kept as it is" if keep else f"{path} does not fail")
+        click.echo(f"{path} does not fail; kept unchanged" if keep else f"{path} does not fail")
     else:
-        click.echo(f"{len(data)} bytes to {len(small)} in {tries} tries: {cases.signature(error)}")
-    where = cases.write_input(
+        click.echo(
+            f"{len(data)} bytes to {len(small)} in {attempts} attempts: {cases.signature(error)}"
+        )
+    written_path = cases.write_input(
         cases.FINDINGS_DIR / name if keep else cases.WORK_DIR / name / "small", small
     )
-    click.echo(str(where))
+    click.echo(str(written_path))
 
 
 @tools.command()
@@ -164,21 +167,21 @@
     "--most",
     type=click.IntRange(1, 100_000),
     default=2000,
-    help="Inputs that are looked at, the shortest first.",
+    help="Inputs considered, the shortest first.",
 )
 def merge(names, most):
-    """Take what runs have found into the corpus, and keep the least of it that reaches the same."""
+    """Add the inputs that runs have found to the corpus and reduce it without losing coverage."""
     for target in chosen_targets(names):
-        before, after, size, reached = engine.merge(target, most)
+        before, after, size, transitions = engine.merge(target, most)
         click.echo(
-            f"{target.name:14} {before} inputs, {after} kept with {size} bytes, {reached} steps "
-            "reached"
+            f"{target.name:14} {before} inputs, {after} kept with {size} bytes, {transitions} line "
+            "transitions reached"
         )
 
 
 @tools.command("record")
 def record_():
-    """Write RECORD.md from the runs that were kept."""
+    """Write RECORD.md from the recorded runs."""
     click.echo(record.write())
 
 
@@ -186,19 +189,21 @@
 @click.argument("names", nargs=-1)
 @click.option("--seconds", type=click.IntRange(1, 3600), default=20, help="For each fault.")
 @click.option("--jobs", type=click.IntRange(1, 64), default=4)
-@click.option("--replay", "only", is_flag=True, help="Only by the kept inputs, without a search.")
-def faults_(names, seconds, jobs, only):
-    """Patch deliberate faults into copies and see whether they are found. Status 1 where one
-    survives."""
+@click.option(
+    "--replay", "replay_only", is_flag=True, help="Run only the kept inputs, without a search."
+)
+def faults_(names, seconds, jobs, replay_only):
+    """Patch deliberate faults into copies of the code and check that the targets find them. The
+    exit status is 1 if a fault is not found."""
     survived = 0
-    for told in faults.run(names, seconds, jobs, only):
-        survived += not told["found"]
+    for result in faults.run(names, seconds, jobs, replay_only):
+        survived += not result["found"]
         click.echo(
-            f"{told['fault']:24} {told['target']:14} "
+            f"{result['fault']:24} {result['target']:14} "
             + (
-                f"found by {told['by']} in {told['seconds']:.1f} s: {told['signature']}"
-                if told["found"]
-                else f"SURVIVED {told['seconds']:.1f} s"
+                f"found by {result['by']} in {result['seconds']:.1f} s: {result['signature']}"
+                if result["found"]
+                else f"SURVIVED {result['seconds']:.1f} s"
             )
         )
     click.echo(f"{survived} survived")
--- a/fuzz/cases.py
+++ b/fuzz/cases.py
@@ -1,4 +1,4 @@
-"""Where inputs lie, what a failure is called, and which lines an input reaches."""
+"""Storage of inputs, signatures of failures, and tracing of the lines that an input reaches."""
 
 import hashlib
 import re
@@ -18,7 +18,7 @@
 
 
 class InvalidInput(ValueError):
-    """A file that holds no input of a target; the text says why."""
+    """A file does not contain an input of a target; the message says why."""
 
 
 def input_name(data: bytes) -> str:
@@ -26,8 +26,8 @@
 
 
 def read_input(path: Path) -> bytes:
-    """An input from a file: hexadecimal text, 64 digits a line, so that a change of it can be
-    read."""
+    """Reads an input from hexadecimal text with 64 digits on a line, so that a diff of it is
+    readable."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -42,40 +42,40 @@
     return bytes.fromhex(digits)
 
 
-def write_input(folder: Path, data: bytes, prefix: str = "") -> Path:
-    folder.mkdir(parents=True, exist_ok=True)
-    path = folder / f"{prefix}{input_name(data)}.hex"
+def write_input(directory: Path, data: bytes, prefix: str = "") -> Path:
+    directory.mkdir(parents=True, exist_ok=True)
+    path = directory / f"{prefix}{input_name(data)}.hex"
     digits = data.hex()
     path.write_text("".join(digits[k : k + 64] + "\n" for k in range(0, len(digits), 64)) or "\n")
     return path
 
 
 def kept_inputs(target: Target) -> list:
-    """(name, input) of all that replay runs: seeds, the corpus, and inputs that once were
-    findings."""
-    made = [(f"seed {k}", seed) for k, seed in enumerate(target.seeds())]
-    for folder in (CORPUS_DIR, FINDINGS_DIR):
-        made += [
+    """(name, input) of all inputs that replay runs: the seeds, the corpus, and the inputs of
+    earlier findings."""
+    inputs = [(f"seed {k}", seed) for k, seed in enumerate(target.seeds())]
+    for directory in (CORPUS_DIR, FINDINGS_DIR):
+        inputs += [
             (str(p.relative_to(PACKAGE_DIR)), read_input(p))
-            for p in sorted((folder / target.name).glob("*.hex"))
+            for p in sorted((directory / target.name).glob("*.hex"))
         ]
-    return made
+    return inputs
 
 
 def signature(error: BaseException) -> str:
-    """The same for the same defect: kind of failure and, for a check, what it says without its
-    figures."""
+    """A text that groups failures by defect: the failing function, and the type of the exception or
+    the first words of the check's message without numbers."""
     frames = traceback.extract_tb(error.__traceback__)
     if isinstance(error, CheckFailed):
-        said = re.sub(r"[^a-z ]+", " ", str(error).lower().split(" in place of ")[0][:90])
+        message = re.sub(r"[^a-z ]+", " ", str(error).lower().split(" instead of ")[0][:90])
         frame = next((f for f in reversed(frames) if f.name != "check"), None)
-        return f"{frame.name if frame else '?'}: {' '.join(said.split()[:6])}"
+        return f"{frame.name if frame else '?'}: {' '.join(message.split()[:6])}"
     frame = next((f for f in reversed(frames) if "havendyke" in f.filename), frames[-1])
     return f"{type(error).__name__} in {Path(frame.filename).name}:{frame.name}"
 
 
 def run_and_catch(target: Target, data: bytes):
-    """What an input does: None, or the error."""
+    """Runs an input; returns the exception that it raises, or None."""
     try:
         target.run(data)
     except Exception as error:
@@ -84,37 +84,39 @@
 
 
 class TransitionTrace:
-    """Which steps from line to line of the product an input takes. Slow, for choosing inputs, not
-    for finding them."""
+    """Records the line transitions of an input in `havendyke`. Tracing is slow: it serves the
+    choice of corpus inputs, not the search for new ones."""
 
-    def __init__(self, part: str = "havendyke/"):
-        self.part, self.seen, self.known = part, set(), {}
+    def __init__(self, path_part: str = "havendyke/"):
+        self.path_part, self.transitions, self.module_paths = path_part, set(), {}
 
     def trace(self, frame, event, arg):
-        name = frame.f_code.co_filename
-        if name not in self.known:
-            at = name.rfind(self.part)
-            self.known[name] = name[at:] if at >= 0 and "/lab/" not in name else None
-        short = self.known[name]
-        if short is None:
+        file_name = frame.f_code.co_filename
+        if file_name not in self.module_paths:
+            start = file_name.rfind(self.path_part)
+            self.module_paths[file_name] = (
+                file_name[start:] if start >= 0 and "/lab/" not in file_name else None
+            )
+        module_path = self.module_paths[file_name]
+        if module_path is None:
             return None
-        before = [-frame.f_code.co_firstlineno]
-        seen = self.seen
+        previous_line = [-frame.f_code.co_firstlineno]
+        transitions = self.transitions
 
-        def local(frame, event, arg):
+        def trace_lines(frame, event, arg):
             if event == "line":
-                seen.add((short, before[0], frame.f_lineno))
-                before[0] = frame.f_lineno
-            return local
+                transitions.add((module_path, previous_line[0], frame.f_lineno))
+                previous_line[0] = frame.f_lineno
+            return trace_lines
 
-        return local
+        return trace_lines
 
-    def of(self, target: Target, data: bytes) -> frozenset:
-        self.seen = set()
-        before = sys.gettrace()
+    def transitions_of(self, target: Target, data: bytes) -> frozenset:
+        self.transitions = set()
+        previous_trace = sys.gettrace()
         sys.settrace(self.trace)
         try:
             run_and_catch(target, data)
         finally:
-            sys.settrace(before)
-        return frozenset(self.seen)
+            sys.settrace(previous_trace)
+        return frozenset(self.transitions)
--- a/fuzz/child.py
+++ b/fuzz/child.py
@@ -1,8 +1,8 @@
-"""One engine on one target in a process of its own: `python -m fuzz.child` with a JSON object on
-standard input.
+"""Runs one engine on one target in a process of its own: `python -m fuzz.child` with a JSON object
+on standard input.
 
-What it finds it writes to the target's work folder at once and goes on; each second it tells a line
-of JSON."""
+A finding is written to the target's work directory at once and the search goes on. A JSON line with
+the status is printed every second."""
 
 import json
 import sys
@@ -11,17 +11,17 @@
 
 from . import cases, registry
 
-SAY = 1.0  # s between lines
-EXAMPLES_PER_BATCH = 40  # examples of hypothesis between looks at the clock and at coverage
-WATCHED = 4  # every so many batches one is watched, for watching costs four fifths of the pace
+STATUS_INTERVAL_S = 1.0
+EXAMPLES_PER_BATCH = 40  # between checks of the clock and of coverage
+BATCHES_PER_MEASUREMENT = 4  # measuring coverage costs four fifths of the execution rate
 
 
-class Tally:
-    """What a run has done so far; findings alike are told once."""
+class RunProgress:
+    """The status of a run; findings with the same signature are kept once."""
 
-    def __init__(self, target, folder: Path, engine, seed):
-        self.target, self.folder, self.found = target, folder, {}
-        self.told = {
+    def __init__(self, target, directory: Path, engine, seed):
+        self.target, self.directory, self.findings = target, directory, {}
+        self.status = {
             "target": target.name,
             "engine": engine,
             "seed": seed,
@@ -29,90 +29,97 @@
             "reached": 0,
             "new": 0,
         }
-        self.began = self.said = self.new_at = time.monotonic()
-
-    def failed(self, data: bytes, error) -> bool:
-        """Whether this failure is new in this run."""
-        sign = cases.signature(error)
-        before = self.found.get(sign)
-        if before is None or len(data) < len(before):
-            self.found[sign] = data
-            (self.folder / "found").mkdir(parents=True, exist_ok=True)
-            mark = cases.input_name(sign.encode())
-            (self.folder / "found" / f"{mark}.json").write_text(
+        self.started_at = self.reported_at = self.last_new_at = time.monotonic()
+
+    def record_failure(self, data: bytes, error) -> bool:
+        """Returns whether the signature of this failure is new in this run."""
+        signature = cases.signature(error)
+        smallest = self.findings.get(signature)
+        if smallest is None or len(data) < len(smallest):
+            self.findings[signature] = data
+            (self.directory / "found").mkdir(parents=True, exist_ok=True)
+            file_name = cases.input_name(signature.encode())
+            (self.directory / "found" / f"{file_name}.json").write_text(
                 json.dumps(
-                    {"signature": sign, "said": str(error)[:600], "input": data.hex(), **self.told}
+                    {
+                        "signature": signature,
+                        "said": str(error)[:600],
+                        "input": data.hex(),
+                        **self.status,
+                    }
                 )
             )
-        return before is None
+        return smallest is None
 
-    def reached(self, count):
-        if count > self.told["reached"]:
-            self.told["new"] += count - self.told["reached"] if self.told["reached"] else 0
-            self.told["reached"], self.new_at = count, time.monotonic()
+    def record_coverage(self, count):
+        if count > self.status["reached"]:
+            self.status["new"] += count - self.status["reached"] if self.status["reached"] else 0
+            self.status["reached"], self.last_new_at = count, time.monotonic()
 
-    def say(self, now=None):
+    def report(self, now=None):
         now = now or time.monotonic()
-        self.said = now
+        self.reported_at = now
         print(
             json.dumps(
                 {
-                    **self.told,
-                    "seconds": round(now - self.began, 1),
-                    "findings": sorted(self.found),
-                    "quiet": round(now - self.new_at, 1),
+                    **self.status,
+                    "seconds": round(now - self.started_at, 1),
+                    "findings": sorted(self.findings),
+                    "quiet": round(now - self.last_new_at, 1),
                 }
             ),
             flush=True,
         )
 
 
-def by_atheris(tally, told):
+def run_atheris(progress, request):
     import atheris
 
     with atheris.instrument_imports(include=["havendyke"]):
         registry.load()
-    target = tally.target = registry.target(told["target"])
+    target = progress.target = registry.target(request["target"])
 
-    def one(data):
+    def run_input(data):
         data = data[: target.max_size]
-        tally.told["executions"] += 1
+        progress.status["executions"] += 1
         try:
             target.run(data)
         except Exception as error:
-            tally.failed(data, error)
+            progress.record_failure(data, error)
         now = time.monotonic()
-        if now - tally.said > SAY:
-            tally.say(now)
-
-    corpus = tally.folder / "inputs"
-    words = tally.folder / "words.txt"
-    words.write_text(
-        "".join(f'"{"".join(f"{chr(92)}x{b:02x}" for b in word)}"\n' for word in target.dictionary)
+        if now - progress.reported_at > STATUS_INTERVAL_S:
+            progress.report(now)
+
+    corpus = progress.directory / "inputs"
+    dictionary_path = progress.directory / "words.txt"
+    dictionary_path.write_text(
+        "".join(
+            f'"{"".join(f"{chr(92)}x{b:02x}" for b in token)}"\n' for token in target.dictionary
+        )
     )
-    # libFuzzer ends the process itself; what was told last before counts.
+    # libFuzzer ends the process itself, so the last status line printed before is the result.
     atheris.Setup(
         [
             sys.argv[0],
             str(corpus),
-            f"-max_total_time={told['seconds']}",
-            f"-seed={told['seed']}",
+            f"-max_total_time={request['seconds']}",
+            f"-seed={request['seed']}",
             f"-max_len={target.max_size}",
             "-print_final_stats=0",
-            f"-dict={words}" if target.dictionary else "-verbosity=1",
-            f"-artifact_prefix={tally.folder}/",
+            f"-dict={dictionary_path}" if target.dictionary else "-verbosity=1",
+            f"-artifact_prefix={progress.directory}/",
         ],
-        one,
+        run_input,
     )
     atheris.Fuzz()
 
 
-def batch_test(one, programs, seed):
-    """A test of `one` with a batch of examples. The seed goes before any profile that fixes the
-    draws, as in a CI."""
+def batch_test(run_input, inputs, seed):
+    """A test that calls `run_input` with a batch of examples. The explicit seed takes precedence
+    over a profile that derandomizes the draws, as CI runs have."""
     import hypothesis
 
-    test = hypothesis.given(programs)(one)
+    test = hypothesis.given(inputs)(run_input)
     test = hypothesis.settings(
         max_examples=EXAMPLES_PER_BATCH,
         database=None,
@@ -125,85 +132,92 @@
     return hypothesis.seed(seed)(test)
 
 
-def by_hypothesis(tally, told):
+def run_hypothesis(progress, request):
     import coverage
     from hypothesis import strategies as st
 
-    watch = coverage.Coverage(
+    coverage_data = coverage.Coverage(
         branch=True, source_pkgs=["havendyke"], omit=["*/lab/*"], data_file=None
     )
-    watch.start()
+    coverage_data.start()
     registry.load()
-    target = tally.target = registry.target(told["target"])
+    target = progress.target = registry.target(request["target"])
     steps = st.lists(
         st.binary(min_size=target.step_size, max_size=target.step_size),
         min_size=1,
         max_size=(target.max_size - target.header_size) // target.step_size,
     )
-    programs = st.tuples(
+    inputs = st.tuples(
         st.binary(min_size=target.header_size, max_size=target.header_size), steps
     ).map(lambda p: p[0] + b"".join(p[1]))
-    drawn, last, over, round_ = [], [None, None], tally.began + told["seconds"], 0
+    drawn_inputs, last_failure, end, round_number = (
+        [],
+        [None, None],
+        progress.started_at + request["seconds"],
+        0,
+    )
 
-    def one(data):
-        if time.monotonic() > over:
+    def run_input(data):
+        if time.monotonic() > end:
             return
-        tally.told["executions"] += 1
-        drawn.append(data)
+        progress.status["executions"] += 1
+        drawn_inputs.append(data)
         try:
             target.run(data)
         except Exception as error:
-            if cases.signature(error) in tally.found and last[0] != cases.signature(error):
-                return  # known in this run; the search goes on to others
-            last[:] = cases.signature(error), data
-            tally.failed(data, error)
+            if cases.signature(error) in progress.findings and last_failure[0] != cases.signature(
+                error
+            ):
+                return  # already found in this run: search for other failures
+            last_failure[:] = cases.signature(error), data
+            progress.record_failure(data, error)
             raise
 
-    def arcs():
-        data = watch.get_data()
+    def count_arcs():
+        data = coverage_data.get_data()
         return sum(len(data.arcs(name) or ()) for name in data.measured_files())
 
     for seed in target.seeds():
         try:
-            one(seed)
+            run_input(seed)
         except Exception:
-            last[0] = None
-    tally.reached(arcs())
-    watch.stop()
-    while time.monotonic() < over:
-        round_ += 1
-        if watched := round_ % WATCHED == 0:
-            watch.start()
-        drawn.clear()
-        last[:] = None, None
-        test = batch_test(one, programs, told["seed"] * 1_000_003 + round_)
+            last_failure[0] = None
+    progress.record_coverage(count_arcs())
+    coverage_data.stop()
+    while time.monotonic() < end:
+        round_number += 1
+        if measured := round_number % BATCHES_PER_MEASUREMENT == 0:
+            coverage_data.start()
+        drawn_inputs.clear()
+        last_failure[:] = None, None
+        test = batch_test(run_input, inputs, request["seed"] * 1_000_003 + round_number)
         try:
             test()
         except Exception as error:
-            if last[0] is None:
+            if last_failure[0] is None:
                 raise
-            print(f"found: {last[0]}: {str(error)[:200]}", file=sys.stderr)
-        if watched:
-            watch.stop()
-            before = tally.told["reached"]
-            tally.reached(arcs())
-            if tally.told["reached"] > before:
-                for data in dict.fromkeys(drawn[-EXAMPLES_PER_BATCH:]):
-                    cases.write_input(tally.folder / "fresh", data)
-        tally.say()
+            print(f"found: {last_failure[0]}: {str(error)[:200]}", file=sys.stderr)
+        if measured:
+            coverage_data.stop()
+            reached_before = progress.status["reached"]
+            progress.record_coverage(count_arcs())
+            if progress.status["reached"] > reached_before:
+                for data in dict.fromkeys(drawn_inputs[-EXAMPLES_PER_BATCH:]):
+                    cases.write_input(progress.directory / "fresh", data)
+        progress.report()
 
 
 def main():
-    told = json.load(sys.stdin)
-    folder = Path(told["folder"])
-    folder.mkdir(parents=True, exist_ok=True)
+    request = json.load(sys.stdin)
+    directory = Path(request["folder"])
+    directory.mkdir(parents=True, exist_ok=True)
 
-    class Named:
-        name = told["target"]
+    class UnloadedTarget:
+        name = request["target"]
 
-    tally = Tally(Named, folder, told["engine"], told["seed"])
-    (by_atheris if told["engine"] == "atheris" else by_hypothesis)(tally, told)
-    tally.say()
+    progress = RunProgress(UnloadedTarget, directory, request["engine"], request["seed"])
+    (run_atheris if request["engine"] == "atheris" else run_hypothesis)(progress, request)
+    progress.report()
 
 
 if __name__ == "__main__":
--- a/fuzz/twin.py
+++ b/fuzz/digest_process.py
@@ -1,4 +1,5 @@
-"""The other process of the target `same`: a program a line in, the digest of its orders out."""
+"""The second process of the target `same`: reads an input per line, prints the digest of its
+orders."""
 
 import sys
 
@@ -9,7 +10,7 @@
     for line in sys.stdin:
         try:
             print(digest_of(bytes.fromhex(line.strip())), flush=True)
-        except Exception as error:  # the asking side runs the same and tells it as its own finding
+        except Exception as error:  # the calling process reports the same failure
             print(f"failed: {type(error).__name__}", flush=True)
 
 
--- a/fuzz/draw.py
+++ b/fuzz/draw.py
@@ -1,5 +1,5 @@
-"""Bytes read as decisions, so that one input format serves atheris, hypothesis, the corpus and the
-minimiser."""
+"""Decodes drawn values from the bytes of an input, so that one input format serves atheris,
+hypothesis, the corpus and the minimiser."""
 
 import copy
 
@@ -46,7 +46,7 @@
 
 
 class Draw:
-    """Every input is a whole program: past its end all draws are 0, the plainest choice."""
+    """Reads values from an input; past its end every byte is 0, which is the simplest choice."""
 
     def __init__(self, data: bytes):
         self.data, self.position = bytes(data), 0
@@ -59,30 +59,30 @@
         self.position += 1
         return self.data[self.position - 1] if self.position <= len(self.data) else 0
 
-    def below(self, most: int) -> int:
-        """From 0 to `most` - 1, from one byte; from two where that is more than 256."""
-        return (self.byte() if most <= 256 else self.byte() << 8 | self.byte()) % most
+    def below(self, bound: int) -> int:
+        """From 0 to `bound` - 1, from one byte, or from two bytes if `bound` is over 256."""
+        return (self.byte() if bound <= 256 else self.byte() << 8 | self.byte()) % bound
 
-    def choice(self, some):
-        return some[self.below(len(some))]
+    def choice(self, options):
+        return options[self.below(len(options))]
 
     def fraction(self) -> float:
-        """From 0 to 1, both included."""
+        """From 0 to 1 inclusive."""
         return self.byte() / 255
 
-    def number_between(self, least: float, most: float) -> float:
-        return least + (most - least) * self.fraction()
+    def number_between(self, minimum: float, maximum: float) -> float:
+        return minimum + (maximum - minimum) * self.fraction()
 
     def flag(self) -> bool:
         return bool(self.byte() & 1)
 
     def unusual_value(self):
-        """A JSON value that a message hardly ever has; a copy, for targets write into what they are
-        given."""
+        """A JSON value that is unusual in a message. It is a copy, since targets modify the values
+        that they receive."""
         return (
             copy.deepcopy(self.choice(UNUSUAL_VALUES)) if self.flag() else self.choice(EDGE_NUMBERS)
         )
 
     def remaining_bytes(self) -> bytes:
-        made, self.position = self.data[self.position :], len(self.data)
-        return made
+        remaining, self.position = self.data[self.position :], len(self.data)
+        return remaining
--- a/fuzz/faults.py
+++ b/fuzz/faults.py
@@ -1,5 +1,5 @@
-"""Deliberate faults, patched into a copy of the tree: what the targets do not find shows a hole in
-them."""
+"""Mutation tests of the targets: deliberate faults patched into a copy of the tree. A fault that is
+not found shows a gap in the targets."""
 
 import json
 import os
@@ -18,7 +18,7 @@
 
 
 class InvalidFault(ValueError):
-    """A fault that does not fit the text it is patched into, or none of that name."""
+    """No fault has the given name, or its text does not occur exactly once in its file."""
 
 
 @dataclass(frozen=True)
@@ -46,14 +46,14 @@
         "resp",
     ),
     Fault(
-        "head_searched_anew",
+        "searched_from_start",
         "net/json_lines.py",
         "            self._searched_bytes = size\n            return None",
         "            return None",
         "lines",
     ),
     Fault(
-        "line_limit_gone",
+        "line_limit_doubled",
         "net/json_lines.py",
         "if size > self.max_line_bytes:",
         "if size > 2 * self.max_line_bytes:",
@@ -88,70 +88,70 @@
         "buffer",
     ),
     Fault(
-        "bad_over_tries",
+        "failures_over_attempts",
         "net/wire_reports.py",
         'parse_count(fields, "bad", attempts)',
         'parse_count(fields, "bad", self._limits.max_report_requests)',
         "reports",
     ),
     Fault(
-        "nan_taken",
+        "nan_accepted",
         "net/wire_fields.py",
         "    if not 0.0 <= number <= maximum:",
         "    if number < 0.0 or number > maximum:",
         "figures",
     ),
     Fault(
-        "spoilt_list_whole",
+        "invalid_list_complete",
         "net/wire_endpoint_list.py",
         "                complete = False\n",
         "",
         "list",
     ),
     Fault(
-        "start_moves",
+        "start_time_changes",
         "net/wire_endpoint_list.py",
         "if known is None or known.unix_ms != unix_ms:",
         "if unix_ms:",
         "list",
     ),
     Fault(
-        "report_ends_collector",
+        "report_disconnects_collector",
         "net/collectors.py",
         "        if self.zone is None:\n            self._reject()",
         "        if True:\n            self._reject()",
         "reports",
     ),
     Fault(
-        "taken_unchecked",
+        "negative_taken_accepted",
         "net/wire_relay.py",
         "if not 0 <= taken <= order_count:",
         "if taken > order_count:",
         "relay_answers",
     ),
     Fault(
-        "probe_place_kept",
+        "health_check_not_released",
         "net/health_checks.py",
         "        self.in_flight -= 1\n        self.event_loop.count(",
         '        self.in_flight -= outcome != "reset"\n        self.event_loop.count(',
         "probe",
     ),
     Fault(
-        "late_row_as_present",
+        "late_entry_as_present",
         "net/relay_stream.py",
         "if entry.server_id in known or not is_present(",
         "if not is_present(",
         "turns",
     ),
     Fault(
-        "gap_not_seen",
+        "gap_not_detected",
         "net/relay_watch.py",
         "            self._has_gap = True\n",
         "            pass\n",
         "turns",
     ),
     Fault(
-        "doubt_taken_for_done",
+        "unresolved_call_as_carried_out",
         "net/unresolved_call.py",
         "carried_out = bool(matches) and all(matches)",
         "carried_out = True",
@@ -179,7 +179,7 @@
         "lists",
     ),
     Fault(
-        "crowd_keeps_places",
+        "unidentified_client_not_released",
         "net/collectors.py",
         "        if self in self._collectors.clients:\n",
         "        if self.zone and self in self._collectors.clients:\n",
@@ -194,42 +194,42 @@
         "deadlines",
     ),
     Fault(
-        "slot_twice",
+        "slot_released_twice",
         "net/slots.py",
         "        if self.items[number] is not None:\n            self.items[number] = None",
         "        if True:\n            self.items[number] = None",
         "slots",
     ),
     Fault(
-        "look_lost",
+        "reconcile_timer_lost",
         "net/assigner.py",
         "            timer_ids = [RECONCILE_TIMER_ID]\n",
         "            timer_ids = []\n",
         "events",
     ),
     Fault(
-        "repeat_keyed_anywhere",
+        "deduplication_scope_ignored",
         "interface/settings.py",
         "                self.deduplication_scope is DeduplicationScope.ALL\n                and",
         "                True\n                and",
         "days",
     ),
     Fault(
-        "drain_overlooked",
+        "draining_ignored",
         "policy/server_capacity.py",
         "not (unlisted or server.is_ready)",
         'server.state == "gone"',
         "days",
     ),
     Fault(
-        "cold_taken_for_warm",
+        "warm_up_ignored",
         "state/server.py",
         "return min(1.0, initial_share + (1 - initial_share) * max(0.0, elapsed))",
         "return 1.0",
         "joint_days",
     ),
     Fault(
-        "owner_too_early",
+        "lease_ignored",
         "state/observed.py",
         "settle_disconnected(proxy, self.now_ms + self.settings.lease_ms)",
         "settle_disconnected(proxy, self.now_ms)",
@@ -243,7 +243,7 @@
         "same",
     ),
     Fault(
-        "bound_gone",
+        "lower_bound_missing",
         "config/deployment.py",
         '"channel_rate_per_s": read_number(\n'
         '            family, "channelRate", UNLIMITED, MIN_CHANNEL_RATE_PER_S, MAX_TABLE_ENTRIES\n'
@@ -254,67 +254,71 @@
 )
 
 
-def patched(fault: Fault, folder: Path):
-    """A copy of the product, the laboratory and the fuzzing tools with this fault in it."""
+def copy_with_fault(fault: Fault, directory: Path):
+    """Copies `havendyke` and the fuzzing tools and patches this fault into the copy."""
     for name in ("havendyke", "fuzz"):
         shutil.copytree(
             ROOT / name,
-            folder / name,
+            directory / name,
             ignore=shutil.ignore_patterns(".work", "__pycache__", "runs.jsonl"),
         )
-    path = folder / "havendyke" / fault.path
+    path = directory / "havendyke" / fault.path
     text = path.read_text()
     if text.count(fault.old) != 1:
         raise InvalidFault(
-            f"fault '{fault.name}': its text stands {text.count(fault.old)} times in "
+            f"fault '{fault.name}': its text occurs {text.count(fault.old)} times in "
             f"havendyke/{fault.path}"
         )
     path.write_text(text.replace(fault.old, fault.new))
 
 
-def seek(fault: Fault, seconds: int, only: bool) -> dict:
-    began = time.monotonic()
+def find_fault(fault: Fault, seconds: int, replay_only: bool) -> dict:
+    started_at = time.monotonic()
     with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
-        patched(fault, folder)
-        told = {"fault": fault.name, "target": fault.target, "found": False, "by": "replay"}
+        directory = Path(name)
+        copy_with_fault(fault, directory)
+        result = {"fault": fault.name, "target": fault.target, "found": False, "by": "replay"}
 
-        def ask(*words):
-            environ = dict(os.environ, PYTHONPATH=str(folder), PYTHONDONTWRITEBYTECODE="1")
+        def run_fuzz(*words):
+            environ = dict(os.environ, PYTHONPATH=str(directory), PYTHONDONTWRITEBYTECODE="1")
             return subprocess.run(
                 [sys.executable, "-m", "fuzz", *words],
-                cwd=folder,
+                cwd=directory,
                 env=environ,
                 capture_output=True,
                 text=True,
                 timeout=seconds + 300,
             )
 
-        done = ask("replay", fault.target)
-        if done.returncode == 1:
-            said = done.stdout.splitlines()[0].split(": ", 2)
-            told |= {"found": True, "signature": said[-1][:90]}
-        elif not only:
-            done = ask("run", fault.target, "--seconds", str(seconds))
-            # What fails without the fault as well is another matter, and no credit to the search.
-            for path in (folder / "fuzz" / ".work" / fault.target / "found").glob("*.json"):
-                seen, target = json.loads(path.read_text()), registry.target(fault.target)
-                if cases.run_and_catch(target, bytes.fromhex(seen["input"])) is None:
-                    told |= {"found": True, "by": "search", "signature": seen["signature"]}
-        if done.returncode not in (0, 1):
+        process = run_fuzz("replay", fault.target)
+        if process.returncode == 1:
+            fields = process.stdout.splitlines()[0].split(": ", 2)
+            result |= {"found": True, "signature": fields[-1][:90]}
+        elif not replay_only:
+            process = run_fuzz("run", fault.target, "--seconds", str(seconds))
+            # A failure that occurs without the fault too doesn't count as finding it.
+            for path in (directory / "fuzz" / ".work" / fault.target / "found").glob("*.json"):
+                finding, target = json.loads(path.read_text()), registry.target(fault.target)
+                if cases.run_and_catch(target, bytes.fromhex(finding["input"])) is None:
+                    result |= {"found": True, "by": "search", "signature": finding["signature"]}
+        if process.returncode not in (0, 1):
             raise InvalidFault(
-                f"fault '{fault.name}': {done.stderr.strip().splitlines()[-1:] or done.returncode}"
+                f"fault '{fault.name}': "
+                f"{process.stderr.strip().splitlines()[-1:] or process.returncode}"
             )
-    return told | {"seconds": time.monotonic() - began}
+    return result | {"seconds": time.monotonic() - started_at}
 
 
-def run(names, seconds: int, jobs: int, only: bool):
-    known = {fault.name: fault for fault in FAULTS}
+def run(names, seconds: int, jobs: int, replay_only: bool):
+    faults_by_name = {fault.name: fault for fault in FAULTS}
     for name in names:
-        if name not in known:
-            raise InvalidFault(f"no fault is named '{name[:60]}'; there are {', '.join(known)}")
+        if name not in faults_by_name:
+            raise InvalidFault(
+                f"no fault is named '{name[:60]}'; the faults are {', '.join(faults_by_name)}"
+            )
     registry.load()
     with ThreadPoolExecutor(jobs) as pool:
         yield from pool.map(
-            lambda fault: seek(fault, seconds, only), [known[n] for n in names] or FAULTS
+            lambda fault: find_fault(fault, seconds, replay_only),
+            [faults_by_name[n] for n in names] or FAULTS,
         )
--- a/fuzz/record.py
+++ b/fuzz/record.py
@@ -1,5 +1,5 @@
-"""What the runs amount to, as a page; and which share of the product's branches the kept inputs
-reach."""
+"""Writes the summary page of the fuzzing runs, and measures the branch coverage of the kept
+inputs."""
 
 import json
 
@@ -9,32 +9,31 @@
 RECORD = cases.PACKAGE_DIR / "RECORD.md"
 
 
-class Branches:
-    """Watches from now on; begin before the product is imported."""
+class BranchCoverage:
+    """Measures from its creation on, which must precede the import of `havendyke`."""
 
     def __init__(self):
         import coverage
 
-        self.watch = coverage.Coverage(
+        self.coverage = coverage.Coverage(
             branch=True, source_pkgs=["havendyke"], omit=["*/lab/*"], data_file=None
         )
-        self.watch.start()
-
-    def shares(self) -> list:
-        """(file, share of its branches reached, how many it has), for the modules that fuzzing is
-        for."""
-        self.watch.stop()
-        made = []
-        for path in sorted(self.watch.get_data().measured_files()):
-            short = path.rpartition("havendyke/")[2]
-            if short.split("/")[0].removesuffix(".py") in MODULES and not short.endswith(
-                "__init__.py"
-            ):
-                numbers = self.watch._analyze(path).numbers
+        self.coverage.start()
+
+    def branch_shares(self) -> list:
+        """(file, share of branches reached, number of branches) of the modules in `MODULES`."""
+        self.coverage.stop()
+        shares = []
+        for path in sorted(self.coverage.get_data().measured_files()):
+            module_path = path.rpartition("havendyke/")[2]
+            if module_path.split("/")[0].removesuffix(
+                ".py"
+            ) in MODULES and not module_path.endswith("__init__.py"):
+                numbers = self.coverage._analyze(path).numbers
                 if numbers.n_branches:
                     share = numbers.n_executed_branches / numbers.n_branches
-                    made.append((short, share, numbers.n_branches))
-        return made
+                    shares.append((module_path, share, numbers.n_branches))
+        return shares
 
 
 def runs() -> list:
@@ -45,44 +44,44 @@
     )
 
 
-def table(told: list) -> list:
-    """A row a target: all its runs added up, and its last one."""
+def table(records: list) -> list:
+    """One row per target: the totals of its runs, and its last run."""
     rows = [
         "| target | engine | runs | seconds | executions | a second | last run: new | findings | "
         "quiet at its end |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    for name in sorted({t["target"] for t in told}):
-        mine = [t for t in told if t["target"] == name]
-        seconds, count, last = (
-            sum(t["seconds"] for t in mine),
-            sum(t["executions"] for t in mine),
-            mine[-1],
+    for name in sorted({t["target"] for t in records}):
+        own_runs = [t for t in records if t["target"] == name]
+        seconds, executions, last = (
+            sum(t["seconds"] for t in own_runs),
+            sum(t["executions"] for t in own_runs),
+            own_runs[-1],
         )
         rows.append(
-            f"| {name} | {last['version']} | {len(mine)} | {seconds:.0f} | {count} | "
-            f"{count / seconds:.0f} | "
-            f"{last['new']} | {len(last['findings'])} | {quiet(mine):.0f} s |"
+            f"| {name} | {last['version']} | {len(own_runs)} | {seconds:.0f} | {executions} | "
+            f"{executions / seconds:.0f} | "
+            f"{last['new']} | {len(last['findings'])} | "
+            f"{seconds_without_finding(own_runs):.0f} s |"
         )
     return rows
 
 
-def quiet(mine: list) -> float:
-    """Seconds at the end of a target's runs in which nothing was found: whole runs without a
-    finding."""
-    made = 0.0
-    for told in reversed(mine):
-        if told["findings"]:
+def seconds_without_finding(own_runs: list) -> float:
+    """Total duration of a target's runs since its last run with a finding."""
+    seconds = 0.0
+    for run in reversed(own_runs):
+        if run["findings"]:
             break
-        made += told["seconds"]
-    return made
+        seconds += run["seconds"]
+    return seconds
 
 
 def write() -> str:
-    told = runs()
-    unknown = {t["target"] for t in told} - set(registry.load())
-    told = [t for t in told if t["target"] not in unknown]
-    total = sum(t["seconds"] for t in told)
+    records = runs()
+    unknown = {t["target"] for t in records} - set(registry.load())
+    records = [t for t in records if t["target"] not in unknown]
+    total = sum(t["seconds"] for t in records)
     lines = [
         "# How long each target ran",
         "",
@@ -92,11 +91,12 @@
         '"quiet" is how long the last runs went on',
         "without a finding. A run that found something is followed by its cure in `FINDINGS.md`.",
         "",
-        *table(told),
+        *table(records),
         "",
-        f"In all {len(told)} runs, {total / 60:.0f} minutes of one process.",
+        f"In all {len(records)} runs, {total / 60:.0f} minutes of one process.",
     ]
     RECORD.write_text("\n".join(lines) + "\n")
     return (
-        f"{len(told)} runs of {len({t['target'] for t in told})} targets, {total / 60:.0f} minutes"
+        f"{len(records)} runs of {len({t['target'] for t in records})} targets, "
+        f"{total / 60:.0f} minutes"
     )
--- a/fuzz/reference.py
+++ b/fuzz/reference.py
@@ -1,156 +1,160 @@
-"""The protocols read plainly from whole bytes, for comparison: clear, slow, and without a thought
-for pieces.
+"""Reference parsers for comparison: simple and slow, each reads its whole input at once.
 
-Each reader gives what it found and how it ended: "more" (whole so far), "bad", or, of an answer,
-"done". Written from RFC 9112 (HTTP/1.1) and the RESP2 specification, not from `havendyke/net`."""
+Each parser returns what it found and a verdict: "more" (valid but incomplete), "bad", or, for a
+response, "done". They follow RFC 9112 (HTTP/1.1) and the RESP2 specification, not
+`havendyke/net`."""
 
 import re
 
 DIGITS = re.compile(rb"[0-9]+")
-STATUS = re.compile(rb"HTTP/1\.[0-9] ([1-5][0-9][0-9])( .*)?", re.S)
-LINES = 100  # head lines of one answer, interim ones and trailers with it
+STATUS_LINE = re.compile(rb"HTTP/1\.[0-9] ([1-5][0-9][0-9])( .*)?", re.S)
+MAX_HEADER_LINES = 100  # of one response, including interim responses and trailers
 
 
-def resp(data: bytes, most: int):
-    """RESP2 arrays of bulk strings; a part of another type is None, a nested array's parts count as
-    the outer's."""
-    found, at = [], 0
+def resp(data: bytes, max_message_bytes: int):
+    """RESP2 arrays of bulk strings. An element of another type is None; the elements of a nested
+    array are appended to those of the outer one."""
+    found, position = [], 0
     while True:
-        begin, parts, left, first = at, [], 1, True
-        while left:
-            if at >= len(data):
+        message_start, parts, parts_left, first = position, [], 1, True
+        while parts_left:
+            if position >= len(data):
                 return found, "more"
-            sign = data[at : at + 1]
-            if sign not in (b"*", b"$", b":", b"+", b"-") or first and sign != b"*":
+            type_byte = data[position : position + 1]
+            if type_byte not in (b"*", b"$", b":", b"+", b"-") or first and type_byte != b"*":
                 return found, "bad"
-            end = data.find(b"\r\n", at)
-            if end < 0 or end + 2 - at > 32:
-                return found, "more" if end < 0 and len(data) - at < 32 else "bad"
-            told, at = data[at + 1 : end], end + 2
+            end = data.find(b"\r\n", position)
+            if end < 0 or end + 2 - position > 32:
+                return found, "more" if end < 0 and len(data) - position < 32 else "bad"
+            digits, position = data[position + 1 : end], end + 2
             size = 0
-            if sign in (b"*", b"$"):
-                if told != b"-1" and not DIGITS.fullmatch(told):
+            if type_byte in (b"*", b"$"):
+                if digits != b"-1" and not DIGITS.fullmatch(digits):
                     return found, "bad"
-                size = int(told)
-            left -= 1
-            if sign == b"*":
-                if size > most // 6:
+                size = int(digits)
+            parts_left -= 1
+            if type_byte == b"*":
+                if size > max_message_bytes // 6:
                     return found, "bad"
-                left += max(size, 0)
-                # An array has no end of its own to wait for, but it is a part where it is nested.
+                parts_left += max(size, 0)
+                # An array has no terminator of its own; a nested array counts as an element.
                 parts += [] if first else [None]
-            if not first and at - begin + (max(size, 0) if sign == b"$" else 0) + 2 > most:
+            if (
+                not first
+                and position - message_start + (max(size, 0) if type_byte == b"$" else 0) + 2
+                > max_message_bytes
+            ):
                 return found, "bad"
-            if sign == b"$" and size >= 0:
-                if at + size + 2 > len(data):
+            if type_byte == b"$" and size >= 0:
+                if position + size + 2 > len(data):
                     return found, "more"
-                if data[at + size : at + size + 2] != b"\r\n":
+                if data[position + size : position + size + 2] != b"\r\n":
                     return found, "bad"
-                parts.append(data[at : at + size])
-                at += size + 2
-            elif sign != b"*":
+                parts.append(data[position : position + size])
+                position += size + 2
+            elif type_byte != b"*":
                 parts.append(None)
             first = False
         found.append(parts)
 
 
-def lines(data: bytes, most: int):
-    *whole, rest = data.split(b"\n")
+def lines(data: bytes, max_line_bytes: int):
+    *complete, remainder = data.split(b"\n")
     found = []
-    for line in whole:
-        if len(line) > most:
+    for line in complete:
+        if len(line) > max_line_bytes:
             return found, "bad"
         found.append(line[:-1] if line.endswith(b"\r") else line)
-    return found, "bad" if len(rest) > most else "more"
+    return found, "bad" if len(remainder) > max_line_bytes else "more"
 
 
-class More(Exception):
+class Incomplete(Exception):
     pass
 
 
-class Bad(Exception):
+class Malformed(Exception):
     pass
 
 
-def answer(data: bytes, head: int):
-    """One HTTP/1.1 answer: (status, body so far), and how it ended."""
-    at, status, body, count = 0, 0, b"", 0
+def response(data: bytes, max_line_bytes: int):
+    """One HTTP/1.1 response: status, body so far and verdict."""
+    position, status, body, line_count = 0, 0, b"", 0
 
-    def line():
-        nonlocal at
-        end = data.find(b"\n", at)
-        if (len(data) if end < 0 else end) - at > head:
-            raise Bad
+    def read_line():
+        nonlocal position
+        end = data.find(b"\n", position)
+        if (len(data) if end < 0 else end) - position > max_line_bytes:
+            raise Malformed
         if end < 0:
-            raise More
-        made, at = data[at:end], end + 1
-        return made.rstrip(b"\r")
+            raise Incomplete
+        line, position = data[position:end], end + 1
+        return line.rstrip(b"\r")
 
-    def counted():
-        nonlocal count
-        count += 1
-        if count > LINES:
-            raise Bad
+    def count_line():
+        nonlocal line_count
+        line_count += 1
+        if line_count > MAX_HEADER_LINES:
+            raise Malformed
 
     try:
         while status < 200:
-            told = STATUS.fullmatch(line())
-            if not told:
-                raise Bad
-            status, fields = int(told[1]), []
-            while text := line():
-                counted()
+            status_line = STATUS_LINE.fullmatch(read_line())
+            if not status_line:
+                raise Malformed
+            status, fields = int(status_line[1]), []
+            while text := read_line():
+                count_line()
                 if text[:1] in b" \t":
                     if not fields:
-                        raise Bad
+                        raise Malformed
                     fields[-1][1] += b" " + text.strip()
                     continue
                 name, colon, value = text.partition(b":")
                 if not colon:
-                    raise Bad
+                    raise Malformed
                 fields.append([name.strip().lower(), value.strip()])
             if status < 200:
-                counted()
+                count_line()
         codings = {value.strip().lower() for name, value in fields if name == b"transfer-encoding"}
         lengths = {value.strip() for name, value in fields if name == b"content-length"}
         if codings:
             if codings != {b"chunked"}:
-                raise Bad
+                raise Malformed
             while True:
-                told = line().partition(b";")[0].strip()
-                if not re.fullmatch(rb"[0-9a-fA-F]{1,12}", told):
-                    raise Bad
-                size = int(told, 16)
+                chunk_size = read_line().partition(b";")[0].strip()
+                if not re.fullmatch(rb"[0-9a-fA-F]{1,12}", chunk_size):
+                    raise Malformed
+                size = int(chunk_size, 16)
                 if not size:
                     break
-                body += data[at : at + size]
-                at = min(at + size, len(data))
-                if len(data) - at == 0:
-                    raise More
-                if line():
-                    raise Bad
-            while line():
-                counted()
+                body += data[position : position + size]
+                position = min(position + size, len(data))
+                if len(data) - position == 0:
+                    raise Incomplete
+                if read_line():
+                    raise Malformed
+            while read_line():
+                count_line()
             return status, body, "done"
         if lengths or status in (204, 304):
-            told = lengths or {b"0"}
-            if len(told) > 1 or not re.fullmatch(rb"[0-9]{1,15}", min(told)):
-                raise Bad
-            size = int(min(told))
-            body = data[at : at + size]
+            values = lengths or {b"0"}
+            if len(values) > 1 or not re.fullmatch(rb"[0-9]{1,15}", min(values)):
+                raise Malformed
+            size = int(min(values))
+            body = data[position : position + size]
             return status, body, "done" if len(body) == size else "more"
-        return status, data[at:], "more"
-    except More:
+        return status, data[position:], "more"
+    except Incomplete:
         return status, body, "more"
-    except Bad:
+    except Malformed:
         return status, body, "bad"
 
 
 NUMBER = re.compile(r"[+-]?([0-9]+(\.[0-9]*)?|\.[0-9]+)([eE][+-]?[0-9]+)?")
 
 
-def number(told: str, most: float):
-    """The value, or None where it must be refused."""
-    if not NUMBER.fullmatch(told):
+def number(text: str, maximum: float):
+    """The value, or None if it must be rejected."""
+    if not NUMBER.fullmatch(text):
         return None
-    return float(told) if 0 <= float(told) <= most else None
+    return float(text) if 0 <= float(text) <= maximum else None
--- a/fuzz/registry.py
+++ b/fuzz/registry.py
@@ -1,4 +1,4 @@
-"""All targets under one roof, whichever engine drives them."""
+"""The registry of fuzz targets, independent of the engine that drives them."""
 
 from dataclasses import dataclass
 from importlib import import_module
@@ -16,24 +16,24 @@
 
 
 class CheckFailed(AssertionError):
-    """An oracle's verdict: what was done is not what must hold."""
+    """An oracle found that a required property does not hold."""
 
 
 class UnknownTarget(LookupError):
     """No target has this name."""
 
 
-def check(kept: bool, *said):
-    """An oracle's check; `said` names what was seen and is only made into a text when it fails."""
-    if not kept:
-        raise CheckFailed(" ".join(s if isinstance(s, str) else repr(s)[:300] for s in said))
+def check(condition: bool, *details):
+    """Checks a property for an oracle; `details` are formatted only if it does not hold."""
+    if not condition:
+        raise CheckFailed(" ".join(s if isinstance(s, str) else repr(s)[:300] for s in details))
 
 
 @dataclass(frozen=True)
 class Target:
-    """`run(data)` returns or raises; what it raises is a finding. `step` bytes make a step of a
-    structured input, 1 where any byte may go. `words` are what mutation puts in; `covers` names the
-    modules it is for."""
+    """A fuzz target. An exception raised by `run(data)` is a finding. A structured input consists
+    of steps of `step_size` bytes; with 1 any byte may be inserted or removed. `dictionary` holds
+    tokens for the mutator, `covers` the modules under test."""
 
     name: str
     description: str
@@ -50,14 +50,14 @@
 TARGETS: dict = {}
 
 
-def register(**told):
-    """A decorator: the function is the target's `run`."""
+def register(**fields):
+    """Returns a decorator that registers a function as the `run` of a target."""
 
-    def made(run):
-        TARGETS[told["name"]] = Target(run=run, **told)
+    def decorate(run):
+        TARGETS[fields["name"]] = Target(run=run, **fields)
         return run
 
-    return made
+    return decorate
 
 
 def load() -> dict:
@@ -69,6 +69,6 @@
 def target(name: str) -> Target:
     if name not in load():
         raise UnknownTarget(
-            f"no target is named '{name[:60]}'; there are {', '.join(sorted(TARGETS))}"
+            f"no target is named '{name[:60]}'; the targets are {', '.join(sorted(TARGETS))}"
         )
     return TARGETS[name]
--- a/fuzz/targets/core.py
+++ b/fuzz/targets/core.py
@@ -1,5 +1,5 @@
-"""The decisions themselves: drawn days against the five rules, wild events, and the same orders in
-another process."""
+"""The controller's decisions: drawn scenarios checked against the five rules, arbitrary events, and
+the same orders in another process."""
 
 import atexit
 import hashlib
@@ -17,10 +17,10 @@
 from ..draw import Draw
 from ..registry import check, register
 
-TICK_MS = 50.0  # ms between looks at the proxies
-SERVER_REQUESTS_PER_S = 100.0  # operations a second that a server answers well
-LONGEST = 40_000.0
-HEAD = 9  # bytes that draw the deployment; four a step after them
+TICK_MS = 50.0
+SERVER_REQUESTS_PER_S = 100.0  # that a server serves without overload
+MAX_DURATION_MS = 40_000.0
+HEADER_BYTES = 9  # determine the deployment; each step after them has four bytes
 REQUEST_CLASS_VARIANTS = (
     dict(idempotency=core.Idempotency.IDEMPOTENT),
     dict(idempotency=core.Idempotency.NON_IDEMPOTENT),
@@ -34,58 +34,76 @@
 )
 
 
-def well_formed(orders, registry):
-    """Every order names what the registry knows and says what the interface allows."""
-    servers, pieces, proxies = (
+def check_orders(orders, registry):
+    """Checks that orders refer to registered objects and have values that the interface allows."""
+    servers, slices, proxies = (
         set(registry.servers.values()),
         set(registry.slices.values()),
         set(registry.proxies.values()),
     )
-    for o in orders:
-        match o:
+    for order in orders:
+        match order:
             case core.SetEndpointWeight():
-                check(math.isfinite(o.weight) and o.weight >= 0, "a weight of", o.weight)
                 check(
-                    o.server in servers and o.slice in pieces | set(registry.controller.slices),
-                    "a line of strangers",
+                    math.isfinite(order.weight) and order.weight >= 0, "a weight of", order.weight
+                )
+                check(
+                    order.server in servers
+                    and order.slice in slices | set(registry.controller.slices),
+                    "a weight order for an unknown server or slice:",
                 )
             case core.SetEjection():
-                check(o.server in servers and type(o.ejected) is bool, "a withdrawal", o)
+                check(
+                    order.server in servers and type(order.ejected) is bool,
+                    "an invalid ejection:",
+                    order,
+                )
             case core.SetAdmission():
                 check(
-                    o.retry_policy in core.RetryPolicy and math.isfinite(o.limit) and o.limit >= 0,
-                    "tries",
-                    o,
+                    order.retry_policy in core.RetryPolicy
+                    and math.isfinite(order.limit)
+                    and order.limit >= 0,
+                    "an invalid admission:",
+                    order,
                 )
                 classes = range(len(registry.controller.settings.request_classes))
-                check(o.request_classes and set(o.request_classes) <= set(classes), "classes", o)
+                check(
+                    order.request_classes and set(order.request_classes) <= set(classes),
+                    "invalid request classes:",
+                    order,
+                )
             case core.RequestAcknowledgement():
-                check(0 <= o.nonce < 65536, "a mark of", o.nonce)
+                check(0 <= order.nonce < 65536, "a nonce of", order.nonce)
             case core.StartTimer():
-                check(math.isfinite(o.delay_ms) and o.delay_ms > 0, "a timer after", o.delay_ms)
+                check(
+                    math.isfinite(order.delay_ms) and order.delay_ms > 0,
+                    "a timer after",
+                    order.delay_ms,
+                )
             case core.BindTable():
-                check(o.proxy in proxies, "a stranger bound")
+                check(order.proxy in proxies, "a table bound to an unknown proxy")
 
 
 class Scenario:
-    """A deployment and a day of troubles that leave the rules a way: `step`s are drawn, the world
-    goes on by itself.
+    """A simulated deployment with drawn faults under which the five rules can still be kept.
 
-    What must be moved at once fits the channel twice, as deployments set it; at most a quarter of
-    the servers drain at a time and not before the last batch has gone, at most as many fail, and
-    not while the channel is slow."""
+    The push channel has room for twice the entries that must be moved at once, as deployments
+    configure it. At most a quarter of the servers drain at a time, and not before the previous
+    batch is gone; at most as many fail, and not while the channel is slow."""
 
     def __init__(self, draw, seed):
         self.random_numbers = LinearCongruentialGenerator(seed)
         self.server_count = 5 + draw.below(6)
-        per, self.proxy_count = 3 + draw.below(3), 2 + draw.below(4)
-        self.slice_count = per * self.server_count
+        slices_per_server, self.proxy_count = 3 + draw.below(3), 2 + draw.below(4)
+        self.slice_count = slices_per_server * self.server_count
         flags = draw.byte()
-        one_owner = flags & 7 == 7
-        head = draw.choice((6.0, 8.0, 12.0))
+        exclusive_ownership = flags & 7 == 7
+        message_overhead = draw.choice((6.0, 8.0, 12.0))
         self.batch_size = max(1, self.server_count // 4)
-        urgent = math.ceil(1.6 * self.batch_size * per) + self.batch_size
-        limit = (2.5, 4.0)[flags >> 5 & 1] * self.proxy_count * (head + 6 + urgent)
+        urgent_entries = math.ceil(1.6 * self.batch_size * slices_per_server) + self.batch_size
+        queue_limit = (
+            (2.5, 4.0)[flags >> 5 & 1] * self.proxy_count * (message_overhead + 6 + urgent_entries)
+        )
         self.push_delay_ms = draw.choice((100.0, 200.0, 350.0))
         self.utilization = draw.choice((0.35, 0.5, 0.65, 0.8))
         self.settings = core.Settings(
@@ -95,12 +113,12 @@
             ],
             zone_count=3,
             slice_count=self.slice_count,
-            exclusive_ownership=one_owner,
-            lease_ms=1000.0 if one_owner else 0.0,
-            max_write_in_flight_ms=800.0 if one_owner else 0.0,
-            channel_queue_limit=limit,
-            channel_rate_per_s=limit / 1.2,
-            message_overhead=head,
+            exclusive_ownership=exclusive_ownership,
+            lease_ms=1000.0 if exclusive_ownership else 0.0,
+            max_write_in_flight_ms=800.0 if exclusive_ownership else 0.0,
+            channel_queue_limit=queue_limit,
+            channel_rate_per_s=queue_limit / 1.2,
+            message_overhead=message_overhead,
             push_delay_ms=self.push_delay_ms,
             report_interval_ms=1000.0,
             warm_up_ms=12_000.0,
@@ -111,7 +129,7 @@
             sizes_stated=bool(flags & 128),
         )
         bounds = Bounds(
-            empty_table_ms=6000.0 if one_owner else 2500.0,
+            empty_table_ms=6000.0 if exclusive_ownership else 2500.0,
             drain_grace_ms=2300.0 + 2 * max(0.0, self.push_delay_ms - 200.0),
         )
         self.start(
@@ -119,54 +137,47 @@
             RuleChecker(self.settings, bounds, SERVER_REQUESTS_PER_S),
         )
 
-    def start(self, registry, rules):
-        """The fleet as it stands at first, and all that the controller behind `registry` is told of
-        it."""
-        self.registry, self.rule_checker = registry, rules
+    def start(self, registry, rule_checker):
+        """Sets up the initial fleet and the events that announce it to the controller of
+        `registry`."""
+        self.registry, self.rule_checker = registry, rule_checker
         self.now_ms, self.data_plane = 100_000.0, DataPlane(self.settings, self.random_numbers.draw)
         self.data_plane.now = self.rule_checker.now = self.now_ms
-        self.last_server_number, self.action_serial, self.digest = (
-            0,
-            0,
-            hashlib.blake2b(digest_size=12),
-        )
-        (
-            self.timers,
-            self.scheduled,
-            self.channel_available,
-            self.stalled_until_ms,
-            self.reports_stopped_until_ms,
-        ) = (
-            [],
-            [],
-            True,
-            0.0,
-            0.0,
-        )
-        self.servers = {}  # by object: "up", "down" or "hung"
-        self.draining, self.drained_at_ms, self.failed_at_ms, self.channel_slow_until_ms = (
-            [],
-            -1e9,
-            -1e9,
-            -1e9,
-        )
+        self.last_server_number = 0
+        self.action_serial = 0
+        self.digest = hashlib.blake2b(digest_size=12)
+        self.timers = []
+        self.scheduled = []
+        self.channel_available = True
+        self.stalled_until_ms = 0.0
+        self.reports_stopped_until_ms = 0.0
+        self.servers = {}  # state by server: "up", "down" or "hung"
+        self.draining = []
+        self.drained_at_ms = -1e9
+        self.failed_at_ms = -1e9
+        self.channel_slow_until_ms = -1e9
         self.slowdowns, self.stood = {}, []
-        names = [self.add_server() for _ in range(self.server_count)]
-        total = SERVER_REQUESTS_PER_S * self.utilization * self.server_count
-        raw = [0.4 + self.random_numbers.draw() for _ in range(self.slice_count)]
-        self.demand = {self.registry.slice(k): total * r / sum(raw) for k, r in enumerate(raw)}
+        servers = [self.add_server() for _ in range(self.server_count)]
+        total_requests_per_s = SERVER_REQUESTS_PER_S * self.utilization * self.server_count
+        weights = [0.4 + self.random_numbers.draw() for _ in range(self.slice_count)]
+        self.demand = {
+            self.registry.slice(index): total_requests_per_s * weight / sum(weights)
+            for index, weight in enumerate(weights)
+        }
         self.inbox = [
             core.EndpointListUpdate(core.ListScope.CACHED, []),
-            self.endpoint_list(core.ListScope.COMPLETE, names),
+            self.endpoint_list(core.ListScope.COMPLETE, servers),
         ]
         self.rule_checker.observe_list(self.now_ms, self.inbox[-1])
-        for k, piece in enumerate(self.demand):
-            self.inbox += self.data_plane.assign_slice(piece, {names[k % len(names)]: 1.0})
-        for k in range(self.proxy_count):
-            self.inbox.append(self.data_plane.connect(self.registry.proxy(k), k % 3, 20.0, True))
+        for index, slice_ in enumerate(self.demand):
+            self.inbox += self.data_plane.assign_slice(slice_, {servers[index % len(servers)]: 1.0})
+        for index in range(self.proxy_count):
+            self.inbox.append(
+                self.data_plane.connect(self.registry.proxy(index), index % 3, 20.0, True)
+            )
         self.next_report_ms = self.now_ms + 1000.0
 
-    # The servers and their list
+    # Servers and the endpoint list
 
     def add_server(self):
         self.last_server_number += 1
@@ -174,85 +185,90 @@
         self.servers[server] = "up"
         return server
 
-    def list_entry(self, server, state, started):
+    def list_entry(self, server, state, started_ms):
         return core.EndpointEntry(
-            server, state, started, int(server.id[1:]) % 3, int(server.id[1:]) % 4, 0, 1.0
+            server, state, started_ms, int(server.id[1:]) % 3, int(server.id[1:]) % 4, 0, 1.0
         )
 
-    def endpoint_list(self, scope, servers, state="ready", started=None):
-        return core.EndpointListUpdate(scope, [self.list_entry(s, state, started) for s in servers])
+    def endpoint_list(self, scope, servers, state="ready", started_ms=None):
+        return core.EndpointListUpdate(
+            scope, [self.list_entry(s, state, started_ms) for s in servers]
+        )
 
-    def send_list(self, event, wait=0.0):
-        self.schedule(wait, lambda: self.deliver_list(event))
+    def send_list(self, event, delay_ms=0.0):
+        self.schedule(delay_ms, lambda: self.deliver_list(event))
 
     def deliver_list(self, event):
         self.rule_checker.observe_list(self.now_ms, event)
         self.inbox.append(event)
 
     def running_servers(self):
-        return [s for s, how in self.servers.items() if how == "up" and s not in self.draining]
+        return [s for s, state in self.servers.items() if state == "up" and s not in self.draining]
 
-    # Steps; each leaves alone what would leave the rules no way
+    # Steps; a step does nothing where the rules could not be kept after it
 
     def wait(self, a, b, c):
         pass
 
     def drain(self, a, b, c):
-        calm = (
+        undisturbed = (
             self.now_ms > self.channel_slow_until_ms + 2000
             and self.now_ms - max(self.drained_at_ms, self.failed_at_ms) > 4000
         )
         if (
             self.draining
-            or not calm
+            or not undisturbed
             or len(self.running_servers()) < self.server_count - self.batch_size + 1
         ):
             return
-        up = self.running_servers()
+        running = self.running_servers()
         self.draining = [
-            up[(a + k) % len(up)] for k in range(min(self.batch_size, 1 + b % self.batch_size))
+            running[(a + k) % len(running)]
+            for k in range(min(self.batch_size, 1 + b % self.batch_size))
         ]
         self.drained_at_ms = self.now_ms
         self.send_list(self.endpoint_list(core.ListScope.CHANGES, self.draining, "draining"))
 
     def replace_drained(self, a, b, c):
         if self.draining and self.now_ms - self.drained_at_ms > 3000:
-            gone, self.draining = self.draining, []
-            for server in gone:
+            drained, self.draining = self.draining, []
+            for server in drained:
                 self.servers[server] = "down"
-            self.send_list(self.endpoint_list(core.ListScope.CHANGES, gone, "gone"))
-            fresh = [self.add_server() for _ in gone]
+            self.send_list(self.endpoint_list(core.ListScope.CHANGES, drained, "gone"))
+            replacements = [self.add_server() for _ in drained]
             self.send_list(
-                self.endpoint_list(core.ListScope.CHANGES, fresh, "ready", self.now_ms), c * 4.0
+                self.endpoint_list(core.ListScope.CHANGES, replacements, "ready", self.now_ms),
+                c * 4.0,
             )
             self.failed_at_ms = self.now_ms
 
     def fail_servers(self, a, b, c):
-        up = self.running_servers()
+        running = self.running_servers()
         if (
             self.draining
             or self.now_ms - max(self.failed_at_ms, self.drained_at_ms) < 6000
-            or len(up) < self.server_count
+            or len(running) < self.server_count
             or self.now_ms < self.channel_slow_until_ms + 2000
         ):
             return
         self.failed_at_ms = self.now_ms
-        struck = [
-            up[(a + k) % len(up)] for k in range(min(self.batch_size, 1 + b % self.batch_size))
+        failed = [
+            running[(a + k) % len(running)]
+            for k in range(min(self.batch_size, 1 + b % self.batch_size))
         ]
-        for server in struck:
+        for server in failed:
             self.servers[server] = "hung" if c & 1 else "down"
         if not c & 1:
             self.send_list(
-                self.endpoint_list(core.ListScope.CHANGES, struck, "gone"), 1000.0 + c * 8
+                self.endpoint_list(core.ListScope.CHANGES, failed, "gone"), 1000.0 + c * 8
             )
-        self.schedule(5000.0 + b * 16, lambda: self.restore_servers(struck))
+        self.schedule(5000.0 + b * 16, lambda: self.restore_servers(failed))
 
-    def restore_servers(self, struck):
-        for server in struck:
+    def restore_servers(self, servers):
+        for server in servers:
             self.servers[server] = "up"
         self.send_list(
-            self.endpoint_list(core.ListScope.CHANGES, struck, "ready", self.now_ms), 300.0
+            self.endpoint_list(core.ListScope.CHANGES, servers, "ready", self.now_ms), 300.0
         )
 
     def toggle_proxy(self, a, b, c):
@@ -271,27 +287,35 @@
             )
 
     def unassign_slices(self, a, b, c):
-        pieces = list(self.demand)
-        taken = [pieces[(a + k) % len(pieces)] for k in range(1 + b % max(1, len(pieces) // 4))]
+        slices = list(self.demand)
+        unassigned = [
+            slices[(a + k) % len(slices)] for k in range(1 + b % max(1, len(slices) // 4))
+        ]
         self.inbox += [
-            self.data_plane.unassign_slice(p) for p in taken if p in self.data_plane.assigned_slices
+            self.data_plane.unassign_slice(slice_)
+            for slice_ in unassigned
+            if slice_ in self.data_plane.assigned_slices
         ]
-        self.schedule(800.0 + c * 8, lambda: self.reassign_slices(taken))
-
-    def reassign_slices(self, taken):
-        up = self.running_servers()
-        for k, piece in enumerate(taken):
-            if piece not in self.data_plane.assigned_slices:
-                # Whoever had it meanwhile may have moved it; of a sole owner not so fast that
-                # writes could meet.
-                other = up[k % len(up)] if k % 2 and not self.settings.exclusive_ownership else None
+        self.schedule(800.0 + c * 8, lambda: self.reassign_slices(unassigned))
+
+    def reassign_slices(self, unassigned):
+        running = self.running_servers()
+        for index, slice_ in enumerate(unassigned):
+            if slice_ not in self.data_plane.assigned_slices:
+                # The other controller may have migrated the slice meanwhile; under exclusive
+                # ownership not so soon that writes to source and target could overlap.
+                other_server = (
+                    running[index % len(running)]
+                    if index % 2 and not self.settings.exclusive_ownership
+                    else None
+                )
                 self.inbox += self.data_plane.assign_slice(
-                    piece, {other: 1.0} if other else self.data_plane.store[piece]
+                    slice_, {other_server: 1.0} if other_server else self.data_plane.store[slice_]
                 )
 
     def slow_server(self, a, b, c):
-        up = self.running_servers()
-        self.slowdowns[up[a % len(up)]] = 1.0 + b / 64
+        running = self.running_servers()
+        self.slowdowns[running[a % len(running)]] = 1.0 + b / 64
 
     def slow_channel(self, a, b, c):
         if not self.draining and self.now_ms - self.failed_at_ms > 6000:
@@ -318,35 +342,43 @@
             self.rule_checker.set_channel_available(self.now_ms, True)
 
     def shift_demand(self, a, b, c):
-        pieces = list(self.demand)
-        hot, usual = pieces[a % len(pieces)], sum(self.demand.values()) / len(pieces)
-        gain = min(usual * (b % 4), 0.2 * usual * len(pieces))
-        rest = sum(d for p, d in self.demand.items() if p is not hot)
-        for piece in pieces:
-            self.demand[piece] -= gain * self.demand[piece] / rest if piece is not hot else -gain
+        slices = list(self.demand)
+        target, average = slices[a % len(slices)], sum(self.demand.values()) / len(slices)
+        increase = min(average * (b % 4), 0.2 * average * len(slices))
+        remaining_demand = sum(
+            demand for slice_, demand in self.demand.items() if slice_ is not target
+        )
+        for slice_ in slices:
+            self.demand[slice_] -= (
+                increase * self.demand[slice_] / remaining_demand
+                if slice_ is not target
+                else -increase
+            )
 
     def repeat_events(self, a, b, c):
-        """Answers and lists that were told before, and what nobody asked for."""
+        """Repeats acknowledgements and failed lists, and sends unrequested ones."""
         proxies = list(self.registry.proxies.values())
-        joined = [v.proxy for v in self.data_plane.connected_proxies()]
-        if joined:
-            proxy = joined[a % len(joined)]
-            serial = self.registry.controller.observed.channel.last_serial
-            held = {
+        connected = [v.proxy for v in self.data_plane.connected_proxies()]
+        if connected:
+            proxy = connected[a % len(connected)]
+            last_serial = self.registry.controller.observed.channel.last_serial
+            awaiting = {
                 proxy
                 for push in self.registry.controller.observed.channel.pushes
                 if push.nonce == b
                 for proxy in push.awaiting_proxies
             }
-            if proxy not in held:
+            if proxy not in awaiting:
                 self.inbox.append(
-                    core.PushAcknowledged(proxies[a % len(proxies)], (serial + 5 + b) % 65536, 1.0)
+                    core.PushAcknowledged(
+                        proxies[a % len(proxies)], (last_serial + 5 + b) % 65536, 1.0
+                    )
                 )
         if c & 1:
             self.inbox.append(core.EndpointListUpdate(core.ListScope.FAILED, []))
 
     def stall_controller(self, a, b, c):
-        """The controller makes no turn; all comes at once afterwards."""
+        """Runs no reconciliation for a while; all events are pending afterwards."""
         if not self.draining and self.now_ms - self.failed_at_ms > 5000:
             self.stalled_until_ms = self.now_ms + a * 4.0
 
@@ -368,97 +400,104 @@
         replace_drained,
     )
 
-    # The world
+    # The simulated environment
 
-    def schedule(self, wait, call):
+    def schedule(self, delay_ms, callback):
         self.action_serial += 1
-        self.scheduled.append((self.now_ms + wait, self.action_serial, call))
+        self.scheduled.append((self.now_ms + delay_ms, self.action_serial, callback))
 
     def request_rates(self):
-        """Operations a second that the proxies send to each server."""
-        views, brought = self.data_plane.connected_proxies(), {}
+        """Requests per second that the proxies send to each server."""
+        views, rates = self.data_plane.connected_proxies(), {}
         for view in views:
-            for piece in self.data_plane.assigned_slices:
-                for server, part in view.traffic_shares(piece).items():
-                    brought[server] = brought.get(server, 0.0) + part * self.demand[piece] / max(
+            for slice_ in self.data_plane.assigned_slices:
+                for server, share in view.traffic_shares(slice_).items():
+                    rates[server] = rates.get(server, 0.0) + share * self.demand[slice_] / max(
                         1, len(views)
                     )
-        return brought
+        return rates
 
     def send_reports(self):
-        told = []
+        reports = []
         for server, rate in self.request_rates().items():
-            tries = int(rate)
-            used = rate / 100.0 * self.slowdowns.get(server, 1.0)
-            bad = (
-                tries
+            attempts = int(rate)
+            utilization = rate / 100.0 * self.slowdowns.get(server, 1.0)
+            failures = (
+                attempts
                 if self.servers[server] != "up"
-                else int(tries * max(0.0, min(0.9, used - 1.2)))
+                else int(attempts * max(0.0, min(0.9, utilization - 1.2)))
+            )
+            latency_ms = (
+                60.0 * (1 + 6 * max(0.0, utilization - 0.6)) * self.slowdowns.get(server, 1.0)
             )
-            slow = 60.0 * (1 + 6 * max(0.0, used - 0.6)) * self.slowdowns.get(server, 1.0)
-            if tries:
-                told.append(
+            if attempts:
+                reports.append(
                     core.ServerLoadReport(
                         server,
                         0,
-                        tries,
-                        bad,
-                        slow if bad < tries else 0.0,
+                        attempts,
+                        failures,
+                        latency_ms if failures < attempts else 0.0,
                         1000.0,
-                        core.ServerLoad(in_flight=used * 3),
+                        core.ServerLoad(in_flight=utilization * 3),
                     )
                 )
-        for piece in self.data_plane.assigned_slices:
-            told += [
-                core.SliceLoadReport(piece, k, int(self.demand[piece] * share), 0, 1000.0)
-                for k, share in enumerate((0.7, 0.3)[: len(self.settings.request_classes)])
+        for slice_ in self.data_plane.assigned_slices:
+            reports += [
+                core.SliceLoadReport(
+                    slice_, request_class, int(self.demand[slice_] * share), 0, 1000.0
+                )
+                for request_class, share in enumerate(
+                    (0.7, 0.3)[: len(self.settings.request_classes)]
+                )
             ]
         if self.now_ms >= self.reports_stopped_until_ms:
             self.schedule(
-                300.0 + 900.0 * self.random_numbers.draw(), lambda: self.inbox.extend(told)
+                300.0 + 900.0 * self.random_numbers.draw(), lambda: self.inbox.extend(reports)
             )
 
     def process_orders(self, orders):
-        well_formed(orders, self.registry)
-        for o in orders:
-            self.digest.update(told(o).encode())
+        check_orders(orders, self.registry)
+        for order in orders:
+            self.digest.update(order_text(order).encode())
         self.apply_orders(orders)
         self.rule_checker.observe_orders(self.now_ms, orders, self.data_plane)
 
     def apply_orders(self, orders):
-        """What the world makes of one turn's orders."""
-        for o in orders:
-            if type(o) is core.StartTimer:
-                self.timers.append((self.now_ms + o.delay_ms, o.timer_id))
-            elif type(o) is core.SendHealthCheck:
-                how = self.servers[o.server]
-                outcome, wait = {
+        """Applies the orders of one reconciliation to the environment."""
+        for order in orders:
+            if type(order) is core.StartTimer:
+                self.timers.append((self.now_ms + order.delay_ms, order.timer_id))
+            elif type(order) is core.SendHealthCheck:
+                state = self.servers[order.server]
+                outcome, delay_ms = {
                     "up": (core.HealthCheckOutcome.PASSED, 5.0),
                     "down": (core.HealthCheckOutcome.REFUSED, 5.0),
                     "hung": (core.HealthCheckOutcome.TIMED_OUT, 500.0),
-                }[how]
+                }[state]
                 self.schedule(
-                    wait,
-                    lambda s=o.server, w=outcome, t=wait: self.inbox.append(
+                    delay_ms,
+                    lambda s=order.server, w=outcome, t=delay_ms: self.inbox.append(
                         core.HealthCheckResult(s, w, t)
                     ),
                 )
         self.data_plane.apply_orders(
             [
-                o
-                for o in orders
-                if type(o) not in (core.StartTimer, core.SendHealthCheck, core.RequestEndpointList)
+                order
+                for order in orders
+                if type(order)
+                not in (core.StartTimer, core.SendHealthCheck, core.RequestEndpointList)
             ]
         )
 
     def reconcile(self):
         if self.now_ms < self.stalled_until_ms:
             return
-        rung = [t for t in self.timers if t[0] <= self.now_ms]
-        self.timers = [t for t in self.timers if t[0] > self.now_ms]
-        if self.inbox or rung:
+        fired = [timer for timer in self.timers if timer[0] <= self.now_ms]
+        self.timers = [timer for timer in self.timers if timer[0] > self.now_ms]
+        if self.inbox or fired:
             self.registry.pending_events = self.inbox + [
-                core.TimerFired(tag) for _, tag in sorted(rung)
+                core.TimerFired(timer_id) for _, timer_id in sorted(fired)
             ]
             self.inbox = []
             self.process_orders(self.registry.reconcile(self.now_ms))
@@ -467,10 +506,10 @@
         end = self.now_ms + ms
         while self.now_ms < end:
             self.now_ms += TICK_MS
-            due = sorted(x for x in self.scheduled if x[0] <= self.now_ms)
-            self.scheduled = [x for x in self.scheduled if x[0] > self.now_ms]
-            for _, _, call in due:
-                call()
+            due = sorted(action for action in self.scheduled if action[0] <= self.now_ms)
+            self.scheduled = [action for action in self.scheduled if action[0] > self.now_ms]
+            for _, _, callback in due:
+                callback()
             self.inbox += self.data_plane.advance(self.now_ms)
             if self.now_ms >= self.next_report_ms:
                 self.next_report_ms += 1000.0
@@ -479,26 +518,26 @@
             self.rule_checker.check(self.now_ms, self.data_plane, self.demand)
             check(
                 not self.rule_checker.violations,
-                "broken:",
-                *[str(b) for b in self.rule_checker.violations[:1]],
+                "rule violated:",
+                *[str(violation) for violation in self.rule_checker.violations[:1]],
             )
 
     def check_published_tables(self):
-        """What the decisions believe of the tables is what the store has."""
-        for piece in self.data_plane.assigned_slices:
+        """Checks that the published tables in the controller's state match the store."""
+        for slice_ in self.data_plane.assigned_slices:
             check(
-                piece.published == self.data_plane.store[piece],
+                slice_.published == self.data_plane.store[slice_],
                 "slice",
-                piece.id,
-                "is believed",
-                {s.id: w for s, w in piece.published.items()},
-                "and is",
-                {s.id: w for s, w in self.data_plane.store[piece].items()},
+                slice_.id,
+                "is published as",
+                {server.id: weight for server, weight in slice_.published.items()},
+                "but stored as",
+                {server.id: weight for server, weight in self.data_plane.store[slice_].items()},
             )
 
 
-def told(order) -> str:
-    """An order as a text that is the same in every process."""
+def order_text(order) -> str:
+    """A text for an order that is the same in every process."""
     return " ".join(
         [type(order).__name__]
         + [str(getattr(v, "id", v)) for v in (getattr(order, n) for n in order.__slots__)]
@@ -506,29 +545,29 @@
 
 
 def run_scenario(data) -> Scenario:
-    seed = int.from_bytes(hashlib.blake2b(data[:HEAD], digest_size=4).digest(), "big")
-    scenario = Scenario(Draw(data[:HEAD].ljust(HEAD, b"\0")), seed)
-    begun = scenario.now_ms
+    seed = int.from_bytes(hashlib.blake2b(data[:HEADER_BYTES], digest_size=4).digest(), "big")
+    scenario = Scenario(Draw(data[:HEADER_BYTES].ljust(HEADER_BYTES, b"\0")), seed)
+    started_ms = scenario.now_ms
     scenario.run_for(1500.0)
-    for begin in range(HEAD, len(data), 4):
-        op, a, b, c = data[begin : begin + 4].ljust(4, b"\0")
-        if scenario.now_ms - begun > LONGEST:
+    for begin in range(HEADER_BYTES, len(data), 4):
+        step, a, b, c = data[begin : begin + 4].ljust(4, b"\0")
+        if scenario.now_ms - started_ms > MAX_DURATION_MS:
             break
-        Scenario.STEPS[op % len(Scenario.STEPS)](scenario, a, b, c)
-        scenario.run_for(TICK_MS * (1 + (op >> 4) * 2))
+        Scenario.STEPS[step % len(Scenario.STEPS)](scenario, a, b, c)
+        scenario.run_for(TICK_MS * (1 + (step >> 4) * 2))
     scenario.run_for(4000.0)
     scenario.check_published_tables()
     return scenario
 
 
-def days() -> list:
-    plain = [
-        bytes(HEAD),
+def scenario_seeds() -> list:
+    deployments = [
+        bytes(HEADER_BYTES),
         bytes([5, 2, 3, 255, 2, 1, 2, 1, 0]),
         bytes([3, 1, 2, 7, 1, 2, 1, 0, 1]),
         bytes([1, 1, 1, 40, 1, 1, 0, 1, 1]),
     ]
-    alone = [
+    single_steps = [
         bytes([2, 1, 2, 32, 1, 1, 1, 0, 0])
         + bytes([k | 0xF0, 9 * k % 256, 40, k, 0xF0, 0, 0, 0, k | 0xF0, 3, 2, 1])
         for k in range(len(Scenario.STEPS))
@@ -537,40 +576,40 @@
         bytes([1, 1, 2, 32, 1, 1, 0, 0, 0])
         + bytes([0xF1, 0, 3, 0, 0xF0, 0, 0, 0, 0xF0, 0, 0, 0, 0xF2, 0, 0, 30]) * 4
     )
-    # A sole owner's proxy is away while its slices change hands; both bits of the channel and of
-    # the cold.
-    sole = [
+    # Exclusive ownership: a proxy is disconnected while slices are migrated, with both values of
+    # the bit for stated sizes.
+    exclusive = [
         bytes([0, 0, 0, 55 | k, 0, 0, 0, 0, 0])
         + bytes([4, 0, 100, 0, 1, 0, 0, 0, 0xF0, 0, 0, 0, 0xF0, 0, 0, 0])
         for k in (0, 128)
     ]
-    full = [bytes([5, 2, 3, 128, 0, 0, 3, 1, k]) + release[HEAD:] for k in (0, 1)]
-    return plain + alone + [release] + sole + full
+    all_limits = [bytes([5, 2, 3, 128, 0, 0, 3, 1, k]) + release[HEADER_BYTES:] for k in (0, 1)]
+    return deployments + single_steps + [release] + exclusive + all_limits
 
 
 @register(
     name="days",
-    description="drawn days against the five rules as written in code",
-    seeds=days,
+    description="drawn scenarios against the five rules as written in code",
+    seeds=scenario_seeds,
     covers=("policy", "state", "registry"),
     engine="hypothesis",
     step_size=4,
-    header_size=HEAD,
-    max_size=HEAD + 72,
+    header_size=HEADER_BYTES,
+    max_size=HEADER_BYTES + 72,
 )
-def run_day(data):
+def run_scenario_target(data):
     run_scenario(data)
 
 
-# Wild events: nothing about them is likely, all of it is within the interface.
+# Arbitrary events: unlikely in service, but allowed by the interface
 
 
-def figure(draw):
+def arbitrary_number(draw):
     return draw.choice((0.0, 1.0, 0.5, 1e-9, 3.0, 100.0, 2500.0, 1e6, 1e-300, 65535.0))
 
 
 def arbitrary_event(draw, registry, now):
-    server, piece = registry.server(f"s{draw.below(7)}"), registry.slice(draw.below(6))
+    server, slice_ = registry.server(f"s{draw.below(7)}"), registry.slice(draw.below(6))
     proxy = registry.proxy(draw.below(5))
     kind = draw.below(12)
     if kind == 0:
@@ -583,7 +622,7 @@
                 draw.below(3),
                 0,
                 0,
-                figure(draw),
+                arbitrary_number(draw),
             )
             for _ in range(draw.below(5))
         ]
@@ -592,30 +631,32 @@
         return core.PushChannelStatus(
             draw.flag(), tuple(draw.below(4) for _ in range(draw.below(3)))
         )
-    tries = int(figure(draw))
+    attempts = int(arbitrary_number(draw))
     return (
-        core.ProxyConnected(proxy, draw.below(3), figure(draw), draw.flag()),
+        core.ProxyConnected(proxy, draw.below(3), arbitrary_number(draw), draw.flag()),
         core.ProxyDisconnected(proxy),
-        core.SliceAssignment(piece, draw.flag()),
-        core.SnapshotEntry(piece, server, figure(draw)),
+        core.SliceAssignment(slice_, draw.flag()),
+        core.SnapshotEntry(slice_, server, arbitrary_number(draw)),
         core.ServerLoadReport(
             server,
             draw.below(3),
-            tries,
-            min(tries, int(figure(draw))),
-            figure(draw),
-            figure(draw),
-            core.ServerLoad(in_flight=figure(draw)) if draw.flag() else core.ServerLoad(),
+            attempts,
+            min(attempts, int(arbitrary_number(draw))),
+            arbitrary_number(draw),
+            arbitrary_number(draw),
+            core.ServerLoad(in_flight=arbitrary_number(draw)) if draw.flag() else core.ServerLoad(),
+        ),
+        core.SliceLoadReport(
+            slice_, draw.below(2), attempts, int(arbitrary_number(draw)), arbitrary_number(draw)
         ),
-        core.SliceLoadReport(piece, draw.below(2), tries, int(figure(draw)), figure(draw)),
         core.HealthCheckResult(
             server,
             draw.choice(tuple(core.HealthCheckOutcome)[:-1]),
-            figure(draw),
+            arbitrary_number(draw),
         ),
-        core.PushAcknowledged(proxy, draw.below(65536), figure(draw)),
+        core.PushAcknowledged(proxy, draw.below(65536), arbitrary_number(draw)),
         core.TimerFired(draw.below(3)),
-        core.SnapshotEntry(piece, server, 1.0),
+        core.SnapshotEntry(slice_, server, 1.0),
     )[kind - 1]
 
 
@@ -649,7 +690,7 @@
     )
 
 
-def wild(data):
+def run_arbitrary_events(data):
     draw = Draw(data)
     settings = arbitrary_settings(draw)
     registry, now, digest = ObjectRegistry(settings, 7), 1000.0, hashlib.blake2b(digest_size=12)
@@ -661,9 +702,9 @@
         if draw.below(4) == 3:
             registry.pending_events.append(core.TimerFired(0))
         orders = registry.reconcile(now)
-        well_formed(orders, registry)
-        for o in orders:
-            digest.update(told(o).encode())
+        check_orders(orders, registry)
+        for order in orders:
+            digest.update(order_text(order).encode())
         for server in registry.controller.servers:
             for value in (
                 server.assigned_load,
@@ -675,7 +716,7 @@
                     math.isfinite(value) and value >= -1e-6,
                     "server",
                     server.id,
-                    "has a figure of",
+                    "has a value of",
                     value,
                 )
         if draw.below(16) == 15 and not registry.pending_events:
@@ -683,7 +724,7 @@
     return digest.hexdigest()
 
 
-def wilds() -> list:
+def arbitrary_seeds() -> list:
     return [bytes([k] * 60) for k in range(0, 256, 17)] + [
         bytes((k * m + 3) % 256 for k in range(200)) for m in (3, 7, 11, 29)
     ]
@@ -691,17 +732,17 @@
 
 @register(
     name="wild",
-    description="events and settings of every kind: no exception, only orders that make sense",
-    seeds=wilds,
+    description="events and settings of every kind: no exception, only valid orders",
+    seeds=arbitrary_seeds,
     covers=("policy", "state", "registry"),
     max_size=300,
 )
-def run_wild(data):
-    wild(data)
+def run_arbitrary_target(data):
+    run_arbitrary_events(data)
 
 
-class Twin:
-    """The same program in another process whose sets are ordered otherwise."""
+class OtherProcess:
+    """Runs inputs in a process with another hash seed, so that sets are ordered differently."""
 
     def __init__(self):
         environ = dict(
@@ -709,7 +750,7 @@
             PYTHONHASHSEED="4711" if os.environ.get("PYTHONHASHSEED") != "4711" else "815",
         )
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "fuzz.twin"],
+            [sys.executable, "-m", "fuzz.digest_process"],
             env=environ,
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
@@ -717,20 +758,21 @@
         )
         atexit.register(self.process.kill)
 
-    def ask(self, data):
+    def digest_of(self, data):
         self.process.stdin.write(data.hex() + "\n")
         self.process.stdin.flush()
         return self.process.stdout.readline().strip()
 
 
-TWIN = []
+OTHER_PROCESS = []
 
 
 def digest_of(data) -> str:
-    """What a program orders, in short: a day where its first bit says so, else wild events."""
+    """The digest of the orders of an input: a scenario if its first bit is set, else arbitrary
+    events."""
     if data[:1] and data[0] & 1:
-        return run_scenario(data[1 : 1 + HEAD + 16]).digest.hexdigest()
-    return wild(data[1:])
+        return run_scenario(data[1 : 1 + HEADER_BYTES + 16]).digest.hexdigest()
+    return run_arbitrary_events(data[1:])
 
 
 @register(
@@ -739,11 +781,13 @@
     step_size=1,
     max_size=200,
     covers=("policy", "state"),
-    seeds=lambda: [b"\1" + d[:60] for d in days()] + [b"\0" + d for d in wilds()],
+    seeds=lambda: (
+        [b"\1" + d[:60] for d in scenario_seeds()] + [b"\0" + d for d in arbitrary_seeds()]
+    ),
 )
 def same(data):
-    if not TWIN:
-        TWIN.append(Twin())
+    if not OTHER_PROCESS:
+        OTHER_PROCESS.append(OtherProcess())
     here = digest_of(data)
-    there = TWIN[0].ask(data)
+    there = OTHER_PROCESS[0].digest_of(data)
     check(there == here, "orders differ between two processes:", here, there)
--- a/fuzz/targets/settings.py
+++ b/fuzz/targets/settings.py
@@ -13,9 +13,11 @@
 
 from ..draw import Draw
 from ..registry import CheckFailed, check, register
-from .world import known, raw_config
+from .world import complete_list, raw_config
 
-RICH = raw_config(known=known("s1", "s2"), limits={"cores": 1.0, "memory_mb": 64, "sockets": 256})
+RICH = raw_config(
+    known=complete_list("s1", "s2"), limits={"cores": 1.0, "memory_mb": 64, "sockets": 256}
+)
 RICH["settings"] = copy.deepcopy(RICH["settings"]) | {
     "registryMode": "push",
     "weightKind": "nominal",
--- a/fuzz/targets/streams.py
+++ b/fuzz/targets/streams.py
@@ -44,17 +44,17 @@
     """An answer as a parser of one message: its status and body once it is over."""
 
     def __init__(self, buffer, most):
-        self.answer, self.body = ResponseParser(buffer, HEADLINE), b""
+        self.response, self.body = ResponseParser(buffer, HEADLINE), b""
 
     def next(self):
-        while (part := self.answer.next()) is not None:
+        while (part := self.response.next()) is not None:
             self.body += bytes(part)
         return None
 
     def seen(self, verdict):
-        verdict = "done" if self.answer.done and verdict == "more" else verdict
-        begun = self.answer.head_complete and (self.body or verdict == "done")
-        return (self.answer.status if begun else 0, self.body), verdict
+        verdict = "done" if self.response.done and verdict == "more" else verdict
+        begun = self.response.head_complete and (self.body or verdict == "done")
+        return (self.response.status if begun else 0, self.body), verdict
 
 
 def read(make, data: bytes, cuts):
@@ -105,13 +105,13 @@
     if len(data) <= EVERY:
         for cut in range(1, len(data)):
             seen = read(make, data, [cut])
-            check(seen == whole, "cut at", cut, "gives", seen, "in place of", whole)
+            check(seen == whole, "cut at", cut, "gives", seen, "instead of", whole)
         cuts = range(1, len(data))
     else:
         draw = Draw(tail)
         cuts = sorted({1 + draw.below(len(data) - 1) for _ in range(12)})
     seen = read(make, data, cuts)
-    check(seen == whole, "cut at", list(cuts)[:20], "gives", seen, "in place of", whole)
+    check(seen == whole, "cut at", list(cuts)[:20], "gives", seen, "instead of", whole)
 
 
 def begun(told):
@@ -245,7 +245,7 @@
     ),
 )
 def http(data):
-    same_however_cut(Body, begun(reference.answer(data, HEADLINE)), data, data[-12:])
+    same_however_cut(Body, begun(reference.response(data, HEADLINE)), data, data[-12:])
 
 
 class Script:
@@ -282,7 +282,7 @@
             self.buffer.release()
             self.bytes = b""
         held = bytes(self.buffer.data[self.buffer.start : self.buffer.end])
-        check(held == self.bytes, "holds", held, "in place of", self.bytes)
+        check(held == self.bytes, "holds", held, "instead of", self.bytes)
         check(
             self.budget.left + len(self.buffer.data) - LEAST == 4000,
             "the budget is",
--- a/fuzz/targets/values.py
+++ b/fuzz/targets/values.py
@@ -18,7 +18,7 @@
 from .. import reference
 from ..draw import Draw
 from ..registry import check, register
-from .world import FAR, SETTINGS, assigner_on, listed, watch
+from .world import PAST_ALL_DEADLINES_MS, SETTINGS, feed_checked, listed_server, make_assigner
 
 ZONES, CLASSES = SETTINGS["localities"], [c["name"] for c in SETTINGS["requestClasses"]]
 NEVER = 1e15  # ms; nothing that is meant is as far from now
@@ -173,10 +173,10 @@
 )
 def reports(data):
     draw = Draw(data)
-    assigner, hub = assigner_on()
+    assigner, hub = make_assigner()
     connection = assigner.collectors.accept()
     hub.establish(connection)
-    watch(connection, encode("SOURCE", "az", "a"))
+    feed_checked(connection, encode("SOURCE", "az", "a"))
     events_of(assigner)
     while not draw.exhausted and not connection.ended:
         shard = draw.flag()
@@ -207,7 +207,7 @@
                 told[name] = value
                 made += [name, value]
         made += [] if draw.below(8) else ["odd"]
-        watch(connection, encode(*made) + GOOD)
+        feed_checked(connection, encode(*made) + GOOD)
         came = events_of(assigner)
         check(not connection.ended, "a spoilt report ended its collector")
         check(
@@ -274,7 +274,7 @@
             seen = read()
         except FieldError:
             seen = None
-        check(seen == right, "read", told, "as", seen, "in place of", right)
+        check(seen == right, "read", told, "as", seen, "instead of", right)
     try:
         for value in astuple(parse_server_load(told, 1e6)):
             finite(0.0 if value is None else value, most=1e6)
@@ -284,7 +284,7 @@
 
 def entry(draw) -> tuple:
     """An entry of the list, and whether all of it is right."""
-    made = listed(
+    made = listed_server(
         draw.choice(("s1", "s2", "s3", "s4")),
         draw.choice(("in_service", "terminating", "terminated")),
         boot_ms=draw.choice((0, 0, 1000, 5999, 6000.5)),
@@ -317,7 +317,7 @@
 )
 def entries(data):
     draw = Draw(data)
-    assigner, hub = assigner_on()
+    assigner, hub = make_assigner()
     spoilt = []
     while not draw.exhausted:
         made = [entry(draw) for _ in range(draw.below(5))]
@@ -372,10 +372,10 @@
 )
 def news(data):
     draw = Draw(data)
-    assigner, hub = assigner_on()
+    assigner, hub = make_assigner()
     assigner.relay.start()
     stream = hub.open("relay_watch")
-    watch(stream, b'{"jsonrpc":"2.0","id":1,"result":true}\n')
+    feed_checked(stream, b'{"jsonrpc":"2.0","id":1,"result":true}\n')
     forms = {
         "SUBSCRIBE": {"sidecar": 1, "az": "a", "share": 2.5, "standing": True},
         "CLOSED": {"sidecar": 1},
@@ -390,7 +390,7 @@
             if not hub.open_connections("relay_watch"):
                 break
             stream = hub.open("relay_watch")
-            watch(stream, b'{"jsonrpc":"2.0","id":1,"result":true}\n')
+            feed_checked(stream, b'{"jsonrpc":"2.0","id":1,"result":true}\n')
         kind = draw.choice(tuple(forms))
         params = dict(forms[kind])
         for name in params:
@@ -408,7 +408,7 @@
             line = orjson.dumps(message)
         except (orjson.JSONEncodeError, TypeError):
             continue
-        watch(stream, line + b"\n")
+        feed_checked(stream, line + b"\n")
         hub.run_for(draw.choice((0, 1, 70)))
         events_of(assigner)
         check(not hub.counters.get("failures"), "a failure:", hub.logged[-1:])
@@ -428,7 +428,7 @@
 )
 def relay_answers(data):
     draw = Draw(data)
-    assigner, hub = assigner_on()
+    assigner, hub = make_assigner()
     relay = assigner.relay
     serial = 0
     while not draw.exhausted:
@@ -470,7 +470,7 @@
         except (orjson.JSONEncodeError, TypeError):
             continue
         number, sent = relay.call.request_id, dict(relay.call.orders)
-        watch(calls[-1], line + b"\n")
+        feed_checked(calls[-1], line + b"\n")
         hub.run()
         if relay.call and relay.call.request_id == number:
             check(relay.call.orders == sent, "a stale answer changed the call under way")
@@ -513,19 +513,19 @@
 )
 def probe(data):
     draw = Draw(data)
-    end, assigner_hub = draw.below(6), assigner_on()
+    end, assigner_hub = draw.below(6), make_assigner()
     assigner, hub = assigner_hub
     server = assigner.registry.server("s1")
     events_of(assigner)
     assigner.health_checker.check(server)
     (connection,) = hub.open_connections(HealthCheck.name)
     hub.establish(connection)
-    watch(connection, draw.remaining_bytes())
+    feed_checked(connection, draw.remaining_bytes())
     if end in (1, 2, 4, 5) and not connection.ended:
         connection.eof_received() if end != 4 else connection.connection_lost(
             ConnectionResetError()
         )
-    hub.run_for(FAR)
+    hub.run_for(PAST_ALL_DEADLINES_MS)
     told = [e for e in events_of(assigner) if isinstance(e, core.HealthCheckResult)]
     check(len(told) == 1 and told[0].server is server, "a probe ended", len(told), "times")
     check(
--- a/fuzz/targets/world.py
+++ b/fuzz/targets/world.py
@@ -1,5 +1,4 @@
-"""What the targets stand on: an assigner in the laboratory's time, and the protocol's messages
-around it."""
+"""Shared by the targets: an assigner in simulated time, and messages of its peers."""
 
 import orjson
 
@@ -9,7 +8,7 @@
 
 from ..registry import check
 
-FAR = 5000.0  # ms after which every deadline of a single question has passed
+PAST_ALL_DEADLINES_MS = 5000.0  # after a single request
 
 SETTINGS = {
     "requestClasses": [
@@ -34,7 +33,7 @@
 }
 
 
-def raw_config(**more) -> dict:
+def raw_config(**overrides) -> dict:
     return {
         "name": "n1",
         "listen": "127.0.0.1:8443",
@@ -42,12 +41,12 @@
         "seed": "8c1f",
         "distributor": {"address": "127.0.0.1:6400"},
         "settings": SETTINGS,
-    } | more
+    } | overrides
 
 
-def listed(ident: str, state: str = "in_service", **more) -> dict:
+def listed_server(uid: str, state: str = "in_service", **overrides) -> dict:
     return {
-        "uid": ident,
+        "uid": uid,
         "endpoint": "127.0.0.9:80",
         "az": "a",
         "model": "m2",
@@ -55,27 +54,29 @@
         "state": state,
         "capacity_hint": 1.0,
         "boot_ms": 0,
-    } | more
+    } | overrides
 
 
-def known(*idents) -> dict:
-    return {"rev": 1, "all": True, "targets": [listed(i) for i in idents]}
+def complete_list(*uids) -> dict:
+    return {"rev": 1, "all": True, "targets": [listed_server(i) for i in uids]}
 
 
-def assigner_on(quiet: bool = True, servers=("s1", "s2", "s3"), limits=None, **more):
-    """An assigner and its hub; a quiet one makes no turns, so that what it is told stays in its
-    inbox."""
-    hub = SimulatedEventLoop(**{"relay_watch_count": 1} | (limits or {}))
-    made = Assigner(config.read_config(raw_config(known=known(*servers), **more), {}), hub)
-    made.reconcile_pending = quiet
-    for number in range(SETTINGS["familyInfo"]["keyRanges"]):
-        made.registry.slice(number)
-    return made, hub
+def make_assigner(hold_events: bool = True, servers=("s1", "s2", "s3"), limits=None, **overrides):
+    """An assigner and its event loop. With `hold_events` no reconciliation runs, so that received
+    events stay pending."""
+    event_loop = SimulatedEventLoop(**{"relay_watch_count": 1} | (limits or {}))
+    assigner = Assigner(
+        config.read_config(raw_config(known=complete_list(*servers), **overrides), {}), event_loop
+    )
+    assigner.reconcile_pending = hold_events
+    for slice_id in range(SETTINGS["familyInfo"]["keyRanges"]):
+        assigner.registry.slice(slice_id)
+    return assigner, event_loop
 
 
-def watch(connection, data: bytes):
-    """Bytes to a connection; a defect of the front is a finding here, where service only counts
-    it."""
+def feed_checked(connection, data: bytes):
+    """Feeds bytes to a connection. An unexpected exception in a handler, which the event loop only
+    counts in service, is a finding here."""
     feed(connection, data)
     connection.event_loop.run()
     check(
@@ -85,5 +86,5 @@
     )
 
 
-def line(**told) -> bytes:
-    return orjson.dumps(told) + b"\n"
+def json_line(**fields) -> bytes:
+    return orjson.dumps(fields) + b"\n"
--- a/tests/fuzz/test_replay.py
+++ b/tests/fuzz/test_replay.py
@@ -1,4 +1,4 @@
-"""The kept inputs run clean, and the tools say what is wrong with what they are given."""
+"""The kept inputs pass all checks, and the command line reports invalid input."""
 
 import subprocess
 import sys
@@ -14,18 +14,18 @@
 NAMES = sorted(registry.load())
 
 
-def tool(*words):
+def run_tool(*arguments):
     return subprocess.run(
-        [sys.executable, "-m", "fuzz", *words], cwd=ROOT, capture_output=True, text=True
+        [sys.executable, "-m", "fuzz", *arguments], cwd=ROOT, capture_output=True, text=True
     )
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_kept_inputs_run_clean(name):
+def test_kept_inputs_do_not_fail(name):
     target = registry.target(name)
-    for where, data in cases.kept_inputs(target):
+    for source, data in cases.kept_inputs(target):
         error = cases.run_and_catch(target, data)
-        assert error is None, f"{where}: {error}"
+        assert error is None, f"{source}: {error}"
     assert all(len(data) <= cases.MAX_INPUT_BYTES for _, data in cases.kept_inputs(target))
 
 
@@ -40,18 +40,18 @@
         (("minimise", "resp", __file__), "not hexadecimal"),
     ],
 )
-def test_bad_input_to_the_tools_is_one_line_and_status_2(words, said):
-    done = tool(*words)
-    assert done.returncode == 2 and said in done.stderr and done.stderr.count("\n") == 1
+def test_invalid_input_gives_one_line_and_status_2(words, said):
+    process = run_tool(*words)
+    assert process.returncode == 2 and said in process.stderr and process.stderr.count("\n") == 1
 
 
-def test_a_run_without_a_seed_takes_a_fresh_one_and_tells_it(monkeypatch):
-    def searched(*words):
+def test_a_run_without_a_seed_prints_a_random_one(monkeypatch):
+    def seed_of_run(*options):
         seeds = []
 
-        def run(targets, seconds, jobs, seed, engine_name, tell):
+        def run(targets, seconds, jobs, seed, engine_name, print_summary):
             seeds.append(seed)
-            made = {
+            summary = {
                 "target": "resp",
                 "executions": 1,
                 "seconds": 1.0,
@@ -60,32 +60,32 @@
                 "findings": [],
                 "seed": seed,
             }
-            tell(made)
-            return [made]
+            print_summary(summary)
+            return [summary]
 
         monkeypatch.setattr(engine, "run", run)
         monkeypatch.setattr(engine, "minimised_findings", lambda target: [])
-        done = CliRunner().invoke(program.run, ["resp", *words])
-        assert done.exit_code == 0 and f"seed {seeds[0]}" in done.output
+        result = CliRunner().invoke(program.run, ["resp", *options])
+        assert result.exit_code == 0 and f"seed {seeds[0]}" in result.output
         return seeds[0]
 
-    assert searched("--seed", "5") == 5
-    assert len({searched() for _ in range(4)}) > 1
+    assert seed_of_run("--seed", "5") == 5
+    assert len({seed_of_run() for _ in range(4)}) > 1
 
 
-def broken(data):
+def failing_target(data):
     if b"\x07" in data[:9]:
         raise ZeroDivisionError("drawn")
 
 
-def test_a_failing_input_gets_small_and_fails_alike():
-    target = registry.Target("broken", "", broken, list, ())
+def test_a_minimised_input_fails_with_the_same_signature():
+    target = registry.Target("broken", "", failing_target, list, ())
     small, tries = minimise.shrink(target, b"abc\x07defgh" * 3)
     assert small == b"\x07" and tries < 200
     assert minimise.shrink(target, b"well") == (b"well", 1)
 
 
-def test_inputs_are_text_files_that_come_back_the_same(tmp_path):
+def test_written_inputs_are_read_back_unchanged(tmp_path):
     for data in (b"", bytes(range(256))):
         assert cases.read_input(cases.write_input(tmp_path, data)) == data
     (tmp_path / "bad").write_text("0")
