--- a/fuzz/cases.py
+++ b/fuzz/cases.py
@@ -1,4 +1,4 @@
-"""Where inputs lie, what a failure is called, and which lines an input reaches."""
+"""Storage of inputs, signatures of failures, and tracing of the lines that an input reaches."""
 
 import hashlib
 import re
@@ -6,72 +6,76 @@
 import traceback
 from pathlib import Path
 
-from .registry import Broken, Target
+from .registry import CheckFailed, Target
 
-HERE = Path(__file__).parent
-CORPUS, FINDINGS, WORK = HERE / "corpus", HERE / "findings", HERE / ".work"
-LARGEST = 4096  # bytes of a kept input
+PACKAGE_DIR = Path(__file__).parent
+CORPUS_DIR, FINDINGS_DIR, WORK_DIR = (
+    PACKAGE_DIR / "corpus",
+    PACKAGE_DIR / "findings",
+    PACKAGE_DIR / ".work",
+)
+MAX_INPUT_BYTES = 4096  # bytes of a kept input
 
 
-class BadCase(ValueError):
-    """A file that holds no input of a target; the text says why."""
+class InvalidInput(ValueError):
+    """A file does not contain an input of a target; the message says why."""
 
 
-def named(data: bytes) -> str:
+def input_name(data: bytes) -> str:
     return hashlib.blake2b(data, digest_size=8).hexdigest()
 
 
-def read(path: Path) -> bytes:
-    """An input from a file: hexadecimal text, 64 digits a line, so that a change of it can be
-    read."""
+def read_input(path: Path) -> bytes:
+    """Reads an input from hexadecimal text with 64 digits on a line, so that a diff of it is
+    readable."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise BadCase(
+        raise InvalidInput(
             f"{path}: cannot be read: {getattr(error, 'strerror', None) or 'not text'}"
         ) from None
     digits = "".join(text.split())
-    if len(digits) > 2 * LARGEST:
-        raise BadCase(f"{path}: over {LARGEST} bytes")
+    if len(digits) > 2 * MAX_INPUT_BYTES:
+        raise InvalidInput(f"{path}: over {MAX_INPUT_BYTES} bytes")
     if not re.fullmatch(r"([0-9a-f]{2})*", digits):
-        raise BadCase(f"{path}: not hexadecimal")
+        raise InvalidInput(f"{path}: not hexadecimal")
     return bytes.fromhex(digits)
 
 
-def write(folder: Path, data: bytes, prefix: str = "") -> Path:
-    folder.mkdir(parents=True, exist_ok=True)
-    path = folder / f"{prefix}{named(data)}.hex"
+def write_input(directory: Path, data: bytes, prefix: str = "") -> Path:
+    directory.mkdir(parents=True, exist_ok=True)
+    path = directory / f"{prefix}{input_name(data)}.hex"
     digits = data.hex()
     path.write_text("".join(digits[k : k + 64] + "\n" for k in range(0, len(digits), 64)) or "\n")
     return path
 
 
-def kept(target: Target) -> list:
-    """(name, input) of all that replay runs: seeds, the corpus, and inputs that once were
-    findings."""
-    made = [(f"seed {k}", seed) for k, seed in enumerate(target.seeds())]
-    for folder in (CORPUS, FINDINGS):
-        made += [
-            (str(p.relative_to(HERE)), read(p))
-            for p in sorted((folder / target.name).glob("*.hex"))
+def kept_inputs(target: Target) -> list:
+    """(name, input) of all inputs that replay runs: the seeds, the corpus, and the inputs of
+    earlier findings."""
+    inputs = [(f"seed {k}", seed) for k, seed in enumerate(target.seeds())]
+    for directory in (CORPUS_DIR, FINDINGS_DIR):
+        inputs += [
+            (str(p.relative_to(PACKAGE_DIR)), read_input(p))
+            for p in sorted((directory / target.name).glob("*.hex"))
         ]
-    return made
+    return inputs
 
 
 def signature(error: BaseException) -> str:
-    """The same for the same defect: kind of failure and, for a check, what it says without its
-    figures."""
+    """A text that groups failures by defect: the failing function, and the type of the exception or
+    the first words of the check's message without numbers."""
     frames = traceback.extract_tb(error.__traceback__)
-    if isinstance(error, Broken):
-        said = re.sub(r"[^a-z ]+", " ", str(error).lower().split(" in place of ")[0][:90])
-        frame = next((f for f in reversed(frames) if f.name != "hold"), None)
-        return f"{frame.name if frame else '?'}: {' '.join(said.split()[:6])}"
+    if isinstance(error, CheckFailed):
+        message = re.sub(r"[^a-z ]+", " ", str(error).lower().split(" instead of ")[0][:90])
+        frame = next((f for f in reversed(frames) if f.name != "check"), None)
+        return f"{frame.name if frame else '?'}: {' '.join(message.split()[:6])}"
     frame = next((f for f in reversed(frames) if "havendyke" in f.filename), frames[-1])
     return f"{type(error).__name__} in {Path(frame.filename).name}:{frame.name}"
 
 
-def failure(target: Target, data: bytes):
-    """What an input does: None, or the error."""
+def run_and_catch(target: Target, data: bytes):
+    """Runs an input; returns the exception that it raises, or None."""
     try:
         target.run(data)
     except Exception as error:
@@ -79,38 +83,40 @@
     return None
 
 
-class Reach:
-    """Which steps from line to line of the product an input takes. Slow, for choosing inputs, not
-    for finding them."""
+class TransitionTrace:
+    """Records the line transitions of an input in `havendyke`. Tracing is slow: it serves the
+    choice of corpus inputs, not the search for new ones."""
 
-    def __init__(self, part: str = "havendyke/"):
-        self.part, self.seen, self.known = part, set(), {}
+    def __init__(self, path_part: str = "havendyke/"):
+        self.path_part, self.transitions, self.module_paths = path_part, set(), {}
 
     def trace(self, frame, event, arg):
-        name = frame.f_code.co_filename
-        if name not in self.known:
-            at = name.rfind(self.part)
-            self.known[name] = name[at:] if at >= 0 and "/lab/" not in name else None
-        short = self.known[name]
-        if short is None:
+        file_name = frame.f_code.co_filename
+        if file_name not in self.module_paths:
+            start = file_name.rfind(self.path_part)
+            self.module_paths[file_name] = (
+                file_name[start:] if start >= 0 and "/lab/" not in file_name else None
+            )
+        module_path = self.module_paths[file_name]
+        if module_path is None:
             return None
-        before = [-frame.f_code.co_firstlineno]
-        seen = self.seen
+        previous_line = [-frame.f_code.co_firstlineno]
+        transitions = self.transitions
 
-        def local(frame, event, arg):
+        def trace_lines(frame, event, arg):
             if event == "line":
-                seen.add((short, before[0], frame.f_lineno))
-                before[0] = frame.f_lineno
-            return local
+                transitions.add((module_path, previous_line[0], frame.f_lineno))
+                previous_line[0] = frame.f_lineno
+            return trace_lines
 
-        return local
+        return trace_lines
 
-    def of(self, target: Target, data: bytes) -> frozenset:
-        self.seen = set()
-        before = sys.gettrace()
+    def transitions_of(self, target: Target, data: bytes) -> frozenset:
+        self.transitions = set()
+        previous_trace = sys.gettrace()
         sys.settrace(self.trace)
         try:
-            failure(target, data)
+            run_and_catch(target, data)
         finally:
-            sys.settrace(before)
-        return frozenset(self.seen)
+            sys.settrace(previous_trace)
+        return frozenset(self.transitions)
--- a/fuzz/targets/xds.py
+++ b/fuzz/targets/xds.py
@@ -16,7 +16,7 @@
     SnapshotAcknowledged,
 )
 
-from ..registry import hold, register
+from ..registry import check, register
 
 NAMES = "abcd"
 
@@ -32,7 +32,7 @@
             return DeltaRequest(response.resource_type, nonce=response.nonce, error="cannot use it")
         for one in response.resources:
             before = self.held[response.resource_type].get(one.name)
-            hold(
+            check(
                 before is None or before.version != one.version,
                 response.resource_type,
                 one.name,
@@ -44,7 +44,7 @@
         for kind in DEPENDENCY_ORDER:
             for one in self.held[kind].values():
                 for need in one.references:
-                    hold(
+                    check(
                         need[1] in self.held[need[0]],
                         kind,
                         one.name,
@@ -81,11 +81,11 @@
 
 @register(
     name="streams",
-    about="xDS streams with a forwarder that refuses, repeats, breaks off and comes back",
+    description="xDS streams with a forwarder that refuses, repeats, breaks off and comes back",
     covers=("xds/stream", "xds/resources"),
     engine="hypothesis",
-    step=3,
-    most=240,
+    step_size=3,
+    max_size=240,
     seeds=lambda: [
         bytes([0, 3, 1, 4, 0, 0] * 6),
         bytes([0, 1, 0, 3, 0, 0, 4, 0, 0, 0, 14, 9, 4, 0, 0, 4, 0, 0]),
@@ -123,7 +123,7 @@
             inbox = forwarder.begin(stream)
         elif kind % 6 == 3:
             try:
-                hold(
+                check(
                     stream.handle_request(DeltaRequest(DEPENDENCY_ORDER[a % 5], nonce=f"old{b}"))
                     == [],
                     "a stale answer brought something",
@@ -132,7 +132,7 @@
                 pass
         elif inbox:
             inbox += stream.handle_request(forwarder.apply(inbox.pop(0)))
-        hold(stream.unacknowledged_bytes() <= 5 * 64, "under way:", stream.unacknowledged_bytes())
+        check(stream.unacknowledged_bytes() <= 5 * 64, "under way:", stream.unacknowledged_bytes())
     now = now.with_changes(
         mark + 1, [i for n in NAMES for i in pair(n, b"end")] + [routes(list(NAMES))]
     )
@@ -141,13 +141,13 @@
         if not inbox:
             break
         inbox += stream.handle_request(forwarder.apply(inbox.pop(0)))
-    hold(not inbox, "it never comes to rest")
+    check(not inbox, "it never comes to rest")
     for kind in DEPENDENCY_ORDER:
-        hold(
+        check(
             {n: o.version for n, o in forwarder.held[kind].items()}
             == {n: o.version for n, o in now.by_type[kind].items()},
             kind,
             "is held as",
             sorted(forwarder.held[kind]),
         )
-    hold(SnapshotAcknowledged(mark + 1) in stream.events, "the last mark is not answered")
+    check(SnapshotAcknowledged(mark + 1) in stream.events, "the last mark is not answered")
