--- a/benchmarks/_days.py
+++ b/benchmarks/_days.py
@@ -149,7 +149,7 @@
         """Half of the servers are known from a cached list in which they are warming up; the
         complete one comes later."""
         old = self.endpoint_list(
-            interface.ListScope.CACHED, list(self.servers)[::2], started=self.now_ms - 1000.0
+            interface.ListScope.CACHED, list(self.servers)[::2], started_ms=self.now_ms - 1000.0
         )
         self.inbox[:2] = [old]
         self.schedule(
