--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,2 +1,2 @@
-"""`python -m benchmarks NAME` prints one JSON line; figures are ratios to an earlier version in the
-same run."""
+"""`python -m benchmarks NAME` prints one JSON line; most figures are ratios to an earlier version
+that ran at the same time."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one benchmark by its name; options after the name go to those that take some."""
+"""Runs one benchmark by its name; further options are passed to benchmarks that accept options."""
 
 import importlib
 import json
@@ -14,9 +14,9 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Runs the benchmark and returns its status."""
+    """Runs the benchmark and returns the exit status."""
     if not arguments or arguments[0] not in NAMES:
-        print(f"benchmarks: give one of {', '.join(NAMES)}", file=sys.stderr)
+        print(f"benchmarks: NAME must be one of {', '.join(NAMES)}", file=sys.stderr)
         return 2
     name, *options = arguments
     benchmark = importlib.import_module(f"benchmarks.{name}")
--- a/benchmarks/_earlier.py
+++ b/benchmarks/_earlier.py
@@ -1,5 +1,4 @@
-"""An earlier version of the product beside the present one, in the same process, from the
-repository's own history."""
+"""Imports an earlier version of the product from the repository's history into this process."""
 
 import importlib
 import io
@@ -18,11 +17,11 @@
 
 
 class UnknownRevisionError(Exception):
-    """A revision that the history does not have."""
+    """A revision or a path in it that the repository's history does not have."""
 
 
 def commit_of(revision: str) -> str:
-    """The full name of a revision's commit."""
+    """The hash of a revision's commit; raises `UnknownRevisionError`."""
     completed = subprocess.run(
         ["git", "rev-parse", "--verify", "--quiet", "--end-of-options", f"{revision}^{{commit}}"],
         cwd=ROOT,
@@ -30,12 +29,12 @@
         text=True,
     )
     if completed.returncode:
-        raise UnknownRevisionError(f"the history has no {revision}")
+        raise UnknownRevisionError(f"unknown revision {revision}")
     return completed.stdout.strip()
 
 
 def extract(revision: str, folder: Path, paths: Sequence[str] = (PACKAGE,)) -> None:
-    """Writes files and folders of a revision into a folder."""
+    """Extracts paths of a revision into a folder; raises `UnknownRevisionError`."""
     completed = subprocess.run(
         ["git", "archive", commit_of(revision), *paths], cwd=ROOT, capture_output=True
     )
@@ -46,8 +45,7 @@
 
 
 def import_revision(revision: str) -> str:
-    """Makes `havendyke` of a revision importable as a package of another name, which is
-    returned."""
+    """Imports a revision's `havendyke` as a package of another name and returns that name."""
     name = f"earlier_{revision}"
     if name in sys.modules:
         return name
@@ -65,8 +63,9 @@
 def compare_speed(
     old: Callable[[], object], new: Callable[[], object], repeats: int = 9
 ) -> dict[str, Any]:
-    """Both run in turn, so that what else the machine does strikes both; seconds a run and the
-    ratio of the medians."""
+    """Times both callables alternately, so that other load on the machine affects both alike.
+
+    Returns the ratio of their medians, and the times."""
     times: dict[str, list[float]] = {"old": [], "new": []}
     for _ in range(repeats):
         for which, call in (("old", old), ("new", new)):
--- a/benchmarks/_former.py
+++ b/benchmarks/_former.py
@@ -1,7 +1,7 @@
-"""A version's controller by present names, for benchmarks that import an earlier version.
+"""Drives any version's controller by present names, for benchmarks that import earlier versions.
 
-Versions before the field's terms had names of their own; the tables have those that benchmarks
-use. Values stand in a message in the same sequence in all versions, and are given by position."""
+The tables map present names to those of versions before a general renaming, as far as benchmarks
+use them. The fields of a message have the same order in all versions and are given by position."""
 
 import importlib
 import importlib.util
@@ -10,7 +10,7 @@
 
 from havendyke import interface
 
-# Modules that may define a version's `Controller`; the first that is there does.
+# The first of these modules that a version has defines its `Controller`.
 CONTROLLER_MODULES = ("policy", "rules")
 FORMER_TYPES = {
     "EndpointEntry": "Entry",
@@ -75,11 +75,11 @@
         }
 
     def make(self, name: str, *values: Any) -> Any:
-        """A message or another value of the interface, by its present name."""
+        """Creates a value of the interface from its type's present name."""
         return self.types[name](*(self._version_value(value) for value in values))
 
     def settings(self, **values: Any) -> Any:
-        """Settings; those that the version does not have are left out."""
+        """Creates settings, without those that the version does not have."""
         known = self.types["Settings"].__dataclass_fields__
         named = {
             FORMER_SETTINGS[name] if self._former else name: value for name, value in values.items()
@@ -87,7 +87,7 @@
         return self.types["Settings"](**{key: v for key, v in named.items() if key in known})
 
     def controller(self, settings: Any, seed: int) -> "VersionController":
-        """A controller of the version."""
+        """Creates a controller of the version."""
         return VersionController(self._controller_type(settings, seed))
 
     def _version_value(self, value: Any) -> Any:
@@ -99,7 +99,7 @@
 
 
 class VersionController:
-    """A controller of any version; `reconcile` is the version's own method."""
+    """A controller of any version, with its own methods under their present names."""
 
     def __init__(self, controller: Any) -> None:
         self._controller = controller
@@ -114,5 +114,5 @@
 
 
 def field(message: Any, name: str) -> Any:
-    """A field of an order, by its present name."""
+    """The value of an order's field, by the field's present name."""
     return getattr(message, name if hasattr(message, name) else FORMER_FIELDS[name])
--- a/benchmarks/_version.py
+++ b/benchmarks/_version.py
@@ -1,7 +1,7 @@
-"""A version of the product as a process that speaks the bench's wire, and a day's session with it.
+"""A version of the product as a process that uses the bench's wire format, and a session with it.
 
-The version is started by the `sim` command of its own deploy file, in its own folder: nothing of it
-is imported or called by name."""
+The version is started by the `sim` command of its own deploy file, in its own folder; none of its
+modules are imported."""
 
 import json
 import os
@@ -22,15 +22,15 @@
 DEPLOY_FILE = "deploy/balancer.toml"
 SIM_KEY = "sim"
 DEPLOYED_INTERPRETER = ".venv/bin/python"
-CONTROLLER_ID = 1  # the controller's number on the wire
+CONTROLLER_ID = 1  # on the wire
 
 
 class VersionError(Exception):
-    """A version that cannot be started, or that ended or answered otherwise than by its orders."""
+    """A version that cannot be started, exits early or gives no answer."""
 
 
 def deployed_command(folder: Path, key: str) -> str:
-    """A command of the version's own deploy file, run by the present interpreter."""
+    """A command of the version's own deploy file, with the present interpreter in it."""
     try:
         command: str = tomllib.loads((folder / DEPLOY_FILE).read_text())[key]
     except (OSError, ValueError, KeyError) as error:
@@ -39,23 +39,23 @@
 
 
 def last_line(stderr: IO[bytes]) -> str:
-    """The last line that a process wrote to its file of standard error."""
+    """The last line in the file of a process's standard error."""
     stderr.seek(0)
     lines = stderr.read().decode(errors="replace").strip().splitlines()
     return lines[-1] if lines else ""
 
 
 class VersionProcess:
-    """A running version; one line goes in and one comes out for each batch."""
+    """A running version, which reads one line and answers one line for each batch."""
 
     def __init__(self, name: str, process: subprocess.Popen[bytes], stderr: IO[bytes]) -> None:
-        """Takes over a process whose standard error goes to a file."""
+        """`stderr`: the file to which the process writes its standard error."""
         self.name = name
         self._process = process
         self._stderr = stderr
 
     def send(self, line: bytes) -> None:
-        """Writes a batch."""
+        """Sends a batch; raises `VersionError` where the process has exited."""
         assert self._process.stdin
         try:
             self._process.stdin.write(line)
@@ -64,7 +64,7 @@
             raise self._exit_error() from None
 
     def receive(self) -> bytes:
-        """The answer to the batch that was written last."""
+        """The answer to the last batch; raises `VersionError` where the process has exited."""
         assert self._process.stdout
         line = self._process.stdout.readline()
         if not line.endswith(b"\n"):
@@ -72,23 +72,23 @@
         return line
 
     def _exit_error(self) -> VersionError:
-        """Names the last line that the process wrote to standard error."""
+        """An error with the last line that the process wrote to standard error."""
         self._process.wait()
-        reason = last_line(self._stderr) or "its process ended early"
+        reason = last_line(self._stderr) or "the process exited early"
         return VersionError(f"{self.name}: {reason}")
 
 
 @contextmanager
 def running_version(name: str, folder: Path) -> Iterator[VersionProcess]:
-    """The version in a folder, running within the context.
+    """Runs the version in a folder within the context.
 
-    Raises `VersionError` where its deploy file states no command."""
+    Raises `VersionError` where its deploy file has no `sim` command."""
     try:
         command = deployed_command(folder, SIM_KEY)
     except VersionError as error:
         raise VersionError(f"{name}: {error}") from error
     with (
-        # Not a pipe, which would fill while nobody reads it.
+        # A pipe would fill up and block the process, since it is not read meanwhile.
         tempfile.TemporaryFile() as stderr,
         subprocess.Popen(
             command,
@@ -108,9 +108,9 @@
 
 
 class Session:
-    """A day's controller behind the wire; it stands in for the `ObjectRegistry`.
+    """A controller in another process, with the part of `ObjectRegistry` that a day uses.
 
-    `exchange` sends a batch and returns the messages of the answer that the day goes by."""
+    `exchange` sends a batch and returns the messages of the answer that drives the day."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         settings: interface.Settings,
         seed: int,
     ) -> None:
-        """Begins a day; the settings and the seed go out with its first batch."""
+        """The settings and the seed are sent with the first batch."""
         self.handles = Handles()
         self.server, self.slice = self.handles.server, self.handles.slice
         self.proxy = self.handles.proxy
@@ -138,7 +138,7 @@
         return [decode_order(message, self.handles) for message in self._send(now_ms)]
 
     def close(self) -> None:
-        """Ends the version's controller, so that the next day begins with a new one."""
+        """Deletes the version's controller, so that the next day starts with a new one."""
         self._pending_messages = [{"kind": "TEARDOWN"}]
         self._send(self._now_ms)
 
--- a/benchmarks/_wire.py
+++ b/benchmarks/_wire.py
@@ -1,11 +1,11 @@
-"""The bench's wire as the operators' pages have it: events to messages, messages to orders.
+"""The bench's wire format as documented: encodes settings and events, decodes orders.
 
-The tables are this module's own, so that neither version's adapter judges itself. Of the product's
-names only those of the working tree's `havendyke.interface` are used, in which the days are drawn;
-an earlier version is never asked for a name.
+The tables do not come from either version's adapter, so that an adapter is not compared with
+itself. Days are generated in the types of the working tree's `havendyke.interface`, the only module
+of the product that is used here; nothing of an earlier version is imported.
 
-The wire has no form for `PushChannelStatus`, and none that an adapter tells from another one for
-`EndpointEntry.start_confirmed` and for superseded health checks."""
+The format cannot express `PushChannelStatus`, and it does not distinguish
+`EndpointEntry.start_confirmed` and superseded health checks."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -17,7 +17,7 @@
 Message = dict[str, Any]
 
 NANOSECONDS_PER_MS = 1e6
-# What the settings' page allows at least.
+# Documented minima of the settings.
 MIN_OBJECTIVE_MS = 1e-3
 MIN_INTERVAL_MS = 1.0
 MIN_QUEUE_LIMIT = 1.0
@@ -74,19 +74,19 @@
 
 
 class WireError(ValueError):
-    """A message that the wire's page does not have."""
+    """A message that the wire format does not have."""
 
 
 @dataclass(eq=False, slots=True)
 class Handle:
-    """Stands for a server, a slice or a proxy; the version behind the wire has its own object."""
+    """A server, a slice or a proxy of a controller in another process."""
 
     id: Any
 
 
 @dataclass
 class Handles:
-    """The handles of all ids that either side has named, one for each."""
+    """One handle for each id that events or orders have named."""
 
     servers: dict[str, Any] = field(default_factory=dict)
     slices: dict[int, Any] = field(default_factory=dict)
@@ -106,7 +106,7 @@
 
 
 def nanoseconds(time_ms: float) -> float:
-    """A time as the wire has it."""
+    """Converts milliseconds to the wire's unit."""
     return time_ms * NANOSECONDS_PER_MS
 
 
@@ -114,7 +114,7 @@
 
 
 def encode_request_class(request_class: interface.RequestClass) -> Message:
-    """A request class in the settings."""
+    """Encodes a request class of the settings."""
     return {
         "promise": nanoseconds(max(MIN_OBJECTIVE_MS, request_class.latency_objective_ms)),
         "hardLimit": nanoseconds(request_class.deadline_ms),
@@ -125,7 +125,7 @@
 
 
 def encode_family(settings: interface.Settings) -> Message:
-    """The settings of the slices and of the push channel."""
+    """Encodes the settings of the slices and of the push channel."""
     return {
         "classOwnZone": [c.own_zone_only for c in settings.request_classes],
         "keyRanges": settings.slice_count,
@@ -146,7 +146,7 @@
 
 
 def encode_settings(settings: interface.Settings) -> Message:
-    """The settings; a figure below what their page allows is raised to that."""
+    """Encodes the settings; values below their documented minimum are raised to it."""
     return {
         "requestClasses": [encode_request_class(c) for c in settings.request_classes],
         "localities": [f"zone-{k}" for k in range(settings.zone_count)],
@@ -169,7 +169,7 @@
 
 
 def settings_keys(message: Mapping[str, Any]) -> list[str]:
-    """The keys of settings, those of their sections included."""
+    """The keys of encoded settings and of their sections."""
     keys: dict[str, None] = {}
     for key, value in message.items():
         keys[key] = None
@@ -183,7 +183,7 @@
 
 
 def encode_entry(entry: interface.EndpointEntry) -> Message:
-    """An entry of the endpoint list."""
+    """Encodes an entry of the endpoint list."""
     return {
         "task": entry.server.id,
         "health": WIRE_SERVER_STATES[entry.state],
@@ -196,19 +196,19 @@
 
 
 def encode_load(load: interface.ServerLoad) -> Message:
-    """What a server says of itself; what it does not say is left out."""
+    """Encodes the load that a server reports; fields that it does not report are omitted."""
     values = {wire_name: getattr(load, name) for name, wire_name in WIRE_LOAD_FIELDS.items()}
     return {wire_name: value for wire_name, value in values.items() if value is not None}
 
 
 def encode_list_update(event: interface.EndpointListUpdate) -> Message:
-    """Writes a list or changes of it."""
+    """Encodes an endpoint list or changes of it."""
     items = [encode_entry(entry) for entry in event.entries]
     return {"kind": "MEMBERS", "scope": WIRE_LIST_SCOPES[event.scope], "items": items}
 
 
 def encode_proxy_connected(event: interface.ProxyConnected) -> Message:
-    """Writes the start of a stream."""
+    """Encodes the start of a proxy's stream."""
     return {
         "kind": "JOINED",
         "agent": event.proxy.id,
@@ -219,17 +219,17 @@
 
 
 def encode_proxy_disconnected(event: interface.ProxyDisconnected) -> Message:
-    """Writes the end of a stream."""
+    """Encodes the end of a proxy's stream."""
     return {"kind": "PARTED", "agent": event.proxy.id}
 
 
 def encode_slice_assignment(event: interface.SliceAssignment) -> Message:
-    """Writes an assignment or its end."""
+    """Encodes the assignment or withdrawal of a slice."""
     return {"kind": "CUSTODY", "routeTable": event.slice.id, "active": event.assigned}
 
 
 def encode_snapshot_entry(event: interface.SnapshotEntry) -> Message:
-    """Writes an entry of the store."""
+    """Encodes an entry of a published table."""
     return {
         "kind": "IN_STORE",
         "routeTable": event.slice.id,
@@ -239,7 +239,7 @@
 
 
 def encode_server_load_report(event: interface.ServerLoadReport) -> Message:
-    """Writes a report of one zone's attempts."""
+    """Encodes a report of one zone's attempts at a server."""
     return {
         "kind": "TRAFFIC_REPORT",
         "task": event.server.id,
@@ -253,7 +253,7 @@
 
 
 def encode_slice_load_report(event: interface.SliceLoadReport) -> Message:
-    """Writes a report of a slice's requests."""
+    """Encodes a report of a slice's requests."""
     return {
         "kind": "SLICE_LOAD",
         "routeTable": event.slice.id,
@@ -265,7 +265,7 @@
 
 
 def encode_health_check_result(event: interface.HealthCheckResult) -> Message:
-    """Writes the end of a health check."""
+    """Encodes the result of a health check."""
     return {
         "kind": "ECHO",
         "task": event.server.id,
@@ -276,7 +276,7 @@
 
 
 def encode_push_acknowledged(event: interface.PushAcknowledged) -> Message:
-    """Writes an acknowledgement."""
+    """Encodes a proxy's acknowledgement."""
     return {
         "kind": "CAUGHT_UP",
         "agent": event.proxy.id,
@@ -286,7 +286,7 @@
 
 
 def encode_timer_fired(event: interface.TimerFired) -> Message:
-    """Writes the end of a timer."""
+    """Encodes the expiry of a timer."""
     return {"kind": "REMINDER", "ctx": event.timer_id}
 
 
@@ -305,7 +305,7 @@
 
 
 def encode_event(event: interface.Event) -> Message | None:
-    """An event as the wire has it; None where it has no form."""
+    """Encodes an event; None where the wire format cannot express it."""
     encoder = EVENT_ENCODERS.get(type(event))
     return encoder(event) if encoder else None
 
@@ -314,19 +314,19 @@
 
 
 def class_indices(mask: int) -> tuple[int, ...]:
-    """The request classes of a mask, in which bit k stands for class k."""
+    """The request classes of a bit mask; bit k is class k."""
     return tuple(k for k in range(mask.bit_length()) if mask >> k & 1)
 
 
 def decode_set_admission(message: Message, _: Handles) -> interface.Order:
-    """Reads what is admitted and retried of some request classes."""
+    """Decodes the admission limit and the retry policy of some request classes."""
     return interface.SetAdmission(
         class_indices(message["only"]), message["limit"], RETRY_POLICIES[message["secondTry"]]
     )
 
 
 def decode_bind_table(message: Message, handles: Handles) -> interface.Order:
-    """Reads the binding of a proxy to a table."""
+    """Decodes the binding of a proxy to a table."""
     return interface.BindTable(
         handles.proxy(message["agent"]),
         handles.slice(message["routeTable"]),
@@ -356,17 +356,17 @@
 
 
 def decode_order(message: Message, handles: Handles) -> interface.Order:
-    """A message of an answer as an order; raises `WireError`."""
+    """Decodes an order of an answer; raises `WireError`."""
     decoder = ORDER_DECODERS.get(message["kind"])
     if decoder is None:
-        raise WireError(f"an answer has the unknown kind {message['kind']!r}")
+        raise WireError(f"the answer has a message of unknown kind {message['kind']!r}")
     return decoder(message, handles)
 
 
 def decode_answer(line: bytes) -> list[Message]:
-    """The messages of an answer; raises `WireError`."""
+    """Parses the messages of an answer; raises `WireError`."""
     try:
         outbox: list[Message] = json.loads(line)["outbox"]
     except (ValueError, KeyError, TypeError) as error:
-        raise WireError(f"an answer cannot be read: {type(error).__name__}: {error}") from error
+        raise WireError(f"the answer is invalid: {type(error).__name__}: {error}") from error
     return outbox
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,9 +1,8 @@
-"""Slopes of an assigner's cost and what they say of the operators' target, from the records of
-scale runs.
+"""Fits an assigner's cost to the records of scale runs and checks it against the operators' target.
 
 `python -m benchmarks capacity --fit` prints every slope and each held-out prediction as one JSON
-line, `--page` writes the tables of docs/CAPACITY.md and docs/design/capacity.md anew. `--records
-FOLDER` names other records."""
+line, `--page` rewrites the tables of docs/CAPACITY.md and docs/design/capacity.md. `--records
+FOLDER` reads other records."""
 
 import argparse
 import json
@@ -19,11 +18,11 @@
 
 
 class UsageError(ValueError):
-    """The call is wrong; one line."""
+    """The command line is invalid."""
 
 
 class OptionParser(argparse.ArgumentParser):
-    """One that raises where the call is wrong, in place of printing its usage."""
+    """A parser that raises instead of printing its usage."""
 
     def error(self, message: str) -> NoReturn:
         """Raises `CallError`."""
@@ -31,7 +30,7 @@
 
 
 def fit_records(folder: Path) -> dict[str, Any]:
-    """Every curve and every held-out check."""
+    """Fits the curves to the records in a folder and checks the held-out predictions."""
     from havendyke.lab.scale import record
     from havendyke.lab.scale.page import Page
 
@@ -63,7 +62,7 @@
 
 
 def round_figures(figures: dict[str, Any]) -> dict[str, Any]:
-    """The figures with five digits."""
+    """The figures with five significant digits."""
     return {
         key: float(f"{value:.5g}") if isinstance(value, float) else value
         for key, value in figures.items()
@@ -71,7 +70,7 @@
 
 
 def measure() -> dict[str, Any]:
-    """The curves of the records in the repository."""
+    """The fit of the repository's records."""
     return fit_records(RECORDS)
 
 
@@ -80,24 +79,24 @@
     parser = OptionParser(
         prog="benchmarks capacity", description="Slopes and pages from the records of scale runs."
     )
-    what = parser.add_mutually_exclusive_group(required=True)
-    what.add_argument(
+    action = parser.add_mutually_exclusive_group(required=True)
+    action.add_argument(
         "--fit", action="store_true", help="print slopes and held-out predictions as one JSON line"
     )
-    what.add_argument("--page", action="store_true", help="write the pages' tables anew")
+    action.add_argument("--page", action="store_true", help="rewrite the pages' tables")
     parser.add_argument("--records", type=Path, default=RECORDS, metavar="FOLDER")
     return parser.parse_args(arguments)
 
 
 def main(arguments: Sequence[str]) -> int:
-    """What the words ask for; returns the exit status."""
+    """Prints the fit or rewrites the pages; returns the exit status."""
     try:
         options = read_options(arguments)
         from havendyke.lab.scale import page, record
     except UsageError as error:
         return report_error(error)
     except ModuleNotFoundError as error:
-        return report_error(f"it needs {error.name}: pip install -r requirements-dev.txt")
+        return report_error(f"missing module {error.name}: pip install -r requirements-dev.txt")
     try:
         if options.fit:
             print(json.dumps(fit_records(options.records)))
@@ -111,7 +110,7 @@
     return 0
 
 
-def report_error(complaint: object) -> int:
-    """Prints a complaint; returns the exit status."""
-    print(f"benchmarks capacity: {complaint}", file=sys.stderr)
+def report_error(message: object) -> int:
+    """Prints an error; returns the exit status."""
+    print(f"benchmarks capacity: {message}", file=sys.stderr)
     return 2
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,9 +1,9 @@
-"""The cost of reconciliations beside an earlier version, at three sizes:
+"""The cost of reconciliations compared with an earlier version, at three sizes:
 `fleet [--against COMMIT]`.
 
-The first reconciliation, those of an ordinary minute and those of a release are timed, and told as
-ratios, min/median/max over repeats. Health checks of several controllers are counted, and the same
-in every run."""
+Times the first reconciliation, reconciliations in normal operation and reconciliations in a
+release, as ratios and as min/median/max over repeats. Counts the health checks that several
+controllers send together; the counts are the same in every run."""
 
 import argparse
 import json
@@ -19,13 +19,13 @@
 from ._earlier import UnknownRevisionError, commit_of, compare_speed, import_revision
 from ._former import Version, VersionController
 
-BEFORE = "56d355e"  # the last version before fleet growth; 5e7bf43 before the fleet test
-SIZES = ((50, 60, 375), (200, 249, 1500), (1024, 300, 2000))  # servers, slices held, proxies
+BEFORE = "56d355e"  # the last version before fleet growth; 5e7bf43: before the fleet test
+SIZES = ((50, 60, 375), (200, 249, 1500), (1024, 300, 2000))  # servers, assigned slices, proxies
 RECONCILIATIONS = 12
 REPEATS = 5
 START_MS = 1000.0
 TICK_MS = 250.0
-REPORTS = 100  # in each reconciliation
+REPORTS = 100  # per reconciliation
 LATENCY_MS, SLOW_LATENCY_MS = 100.0, 250.0
 CONTROLLER_COUNTS = (1, 5, 60)
 CHECKED_SERVERS, CHECKED_MS = 60, 10_000.0
@@ -34,11 +34,11 @@
 
 
 class UsageError(ValueError):
-    """The command line is wrong."""
+    """The command line is invalid."""
 
 
 class Options(argparse.ArgumentParser):
-    """A parser whose complaint is one line."""
+    """A parser that raises instead of printing its usage."""
 
     def error(self, message: str) -> NoReturn:
         """Raises `CallError`."""
@@ -67,7 +67,7 @@
 
 @dataclass
 class Deployment:
-    """A controller, its servers and proxies, and the events that wait for it."""
+    """A controller, its servers and proxies, and the pending events."""
 
     version: Version
     controller: VersionController
@@ -76,7 +76,7 @@
     events: list[Any] = field(default_factory=list)
 
     def add_servers(self, count: int) -> None:
-        """Adds ready servers in three zones, by a complete list."""
+        """Adds ready servers in three zones with a complete endpoint list."""
         self.servers += [self.controller.add_server(f"s{k}") for k in range(count)]
         entries = [self.entry(s, k % 3) for k, s in enumerate(self.servers)]
         self.events.append(self.version.make("EndpointListUpdate", ListScope.COMPLETE, entries))
@@ -106,24 +106,24 @@
         ]
 
     def reconcile(self, now_ms: float) -> list[Any]:
-        """Hands the waiting events to the controller."""
+        """Reconciles with the pending events."""
         events, self.events = self.events, []
         return self.controller.reconcile(now_ms, events)
 
 
 def deployment(version: Version, size: Size) -> Deployment:
-    """A controller before its first reconciliation."""
+    """Creates a deployment whose first events are pending."""
     servers, slices, proxies = size
-    made = Deployment(version, version.controller(settings(version, 5 * slices, proxies), 3))
-    made.add_servers(servers)
+    fleet = Deployment(version, version.controller(settings(version, 5 * slices, proxies), 3))
+    fleet.add_servers(servers)
     for number in range(slices):
-        made.assign(number, made.servers[number % servers])
-    made.connect(proxies)
-    return made
+        fleet.assign(number, fleet.servers[number % servers])
+    fleet.connect(proxies)
+    return fleet
 
 
 def first_reconciliation(version: Version, size: Size) -> Callable[[], None]:
-    """Times making a deployment and its first reconciliation."""
+    """Returns a call that creates a deployment and reconciles once."""
 
     def run() -> None:
         deployment(version, size).reconcile(START_MS)
@@ -132,7 +132,7 @@
 
 
 class Reconciliations:
-    """Reconciliations of a running deployment, each with reports and the last push's ACKs.
+    """Reconciliations of a running deployment, each with load reports and the last push's ACKs.
 
     A quarter of the servers is slow.
     """
@@ -146,7 +146,7 @@
         self.deployment.reconcile(self.now_ms)
 
     def run(self) -> None:
-        """Some seconds of the deployment."""
+        """Reconciles `RECONCILIATIONS` times."""
         for _ in range(RECONCILIATIONS):
             self.now_ms += TICK_MS
             self.deployment.events = [self.types["TimerFired"](0), *self.reports(), *self.acks()]
@@ -155,7 +155,7 @@
                     self.nonce = _former.field(order, "nonce")
 
     def reports(self) -> list[Any]:
-        """Reports of the servers whose turn it is."""
+        """Load reports of the next `REPORTS` servers."""
         report, servers, reports = self.types["ServerLoadReport"], self.deployment.servers, []
         for _ in range(REPORTS):
             self.reported = (self.reported + 1) % len(servers)
@@ -170,32 +170,34 @@
 
 
 def reconciliations(version: Version, size: Size) -> Callable[[], None]:
-    """Times an ordinary course."""
+    """Returns a call that reconciles in normal operation."""
     return Reconciliations(version, size).run
 
 
 def reconciliations_in_a_release(version: Version, size: Size) -> Callable[[], None]:
-    """Times a release: a third of the servers has just started, beside as many that drain."""
-    made = Reconciliations(version, size)
-    running = made.deployment
-    draining = running.servers[: size[0] // 3]
-    started = [running.controller.add_server(f"n{k}") for k in range(len(draining))]
-    entries = [running.entry(s, k % 3, started_ms=made.now_ms) for k, s in enumerate(started)]
-    entries += [running.entry(s, 0, ServerState.DRAINING) for s in draining]
-    running.servers += started
-    running.events = [version.make("EndpointListUpdate", ListScope.CHANGES, entries)]
-    running.reconcile(made.now_ms)
-    return made.run
+    """Returns a call that reconciles in a release.
+
+    A third of the servers drains, and as many new servers have just started."""
+    workload = Reconciliations(version, size)
+    fleet = workload.deployment
+    draining = fleet.servers[: size[0] // 3]
+    started = [fleet.controller.add_server(f"n{k}") for k in range(len(draining))]
+    entries = [fleet.entry(s, k % 3, started_ms=workload.now_ms) for k, s in enumerate(started)]
+    entries += [fleet.entry(s, 0, ServerState.DRAINING) for s in draining]
+    fleet.servers += started
+    fleet.events = [version.make("EndpointListUpdate", ListScope.CHANGES, entries)]
+    fleet.reconcile(workload.now_ms)
+    return workload.run
 
 
 def health_checks(version: Version, controllers: int) -> dict[str, float]:
-    """Health checks a second that servers get of so many controllers together.
+    """Health checks per second that a server gets from all controllers together.
 
-    Each controller has its part of six slices a server.
+    The controllers share six slices per server.
     """
     counts: Counter[str] = Counter()
     for number in range(controllers):
-        counts.update(checks_of(version, number, controllers))
+        counts.update(count_health_checks(version, number, controllers))
     per_second = 1000 / CHECKED_MS
     return {
         "most": round(max(counts.values()) * per_second, 2),
@@ -203,21 +205,21 @@
     }
 
 
-def checks_of(version: Version, number: int, controllers: int) -> Counter[str]:
-    """Health checks of one controller, by server."""
+def count_health_checks(version: Version, number: int, controllers: int) -> Counter[str]:
+    """Counts one controller's health checks by server."""
     slices = 6 * CHECKED_SERVERS
-    wanted = settings(version, slices, 100, controllers)
-    made = Deployment(version, version.controller(wanted, 1 + 7919 * number))
-    made.add_servers(CHECKED_SERVERS)
+    checked_settings = settings(version, slices, 100, controllers)
+    fleet = Deployment(version, version.controller(checked_settings, 1 + 7919 * number))
+    fleet.add_servers(CHECKED_SERVERS)
     for id_ in range(number, slices, controllers):
-        made.assign(id_, made.servers[id_ % CHECKED_SERVERS])
+        fleet.assign(id_, fleet.servers[id_ % CHECKED_SERVERS])
     counts: Counter[str] = Counter()
     for tick in range(int(CHECKED_MS / TICK_MS)):
-        orders = made.reconcile(START_MS + TICK_MS * tick)
+        orders = fleet.reconcile(START_MS + TICK_MS * tick)
         checks = [o.server for o in orders if type(o) is version.types["SendHealthCheck"]]
         counts.update(server.id for server in checks)
-        made.events = [version.make("TimerFired", 0)]
-        made.events += [
+        fleet.events = [version.make("TimerFired", 0)]
+        fleet.events += [
             version.make("HealthCheckResult", server, HealthCheckOutcome.PASSED, 5.0)
             for server in checks
         ]
@@ -232,7 +234,7 @@
 
 
 def measure(before: str = BEFORE) -> dict[str, Any]:
-    """All figures, beside those of an earlier version."""
+    """All figures of the present version and of an earlier one."""
     earlier, present = Version(import_revision(before)), Version("havendyke")
     return {
         "benchmark": "fleet",
@@ -258,7 +260,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Prints the figures as one line; returns the status."""
+    """Prints the figures as one line of JSON; returns the exit status."""
     options = Options(prog="benchmarks fleet")
     options.add_argument("--against", default=BEFORE, metavar="COMMIT", help="the earlier version")
     try:
--- a/benchmarks/same.py
+++ b/benchmarks/same.py
@@ -1,17 +1,17 @@
-"""Whether the working tree orders on drawn days what an earlier commit did: `same --against COMMIT
-[--seeds FIRST:END]`.
+"""Compares the orders of the working tree and of an earlier commit on randomly generated days:
+`same --against COMMIT [--seeds FIRST:END]`.
 
-Each version runs as a process of its own, started by the `sim` command of its own deploy file, so
-that modules, types and fields may have other names in either. A day is played against the answers
-of the earlier version; the present one gets the same lines, and its answers must be the same byte
-for byte. A day ends with its first difference. Status 0: no difference; 1: some; 2: the versions
-could not be compared.
+Each version runs in its own process, started by the `sim` command of its own deploy file, so that
+names of modules, types and fields may differ. The answers of the earlier version drive a day; the
+present version gets the same lines, and its answers must be identical byte for byte. A day ends at
+its first difference. Exit status 0: no difference; 1: some; 2: the versions could not be compared.
 
-Not covered, since the wire does not carry it: the loss of the push channel and pushes that never
-left (`PushChannelStatus`), starts that a cached list only assumes (`start_confirmed`), health
-checks that reached an earlier incarnation (`SUPERSEDED`), and the registry's forgetting of departed
-servers. Settings below what their page allows are raised to that. `left_out` names the keys of the
-settings that no module of a version quotes, which it therefore ignores."""
+Not covered, since the bench's wire format does not carry it: the loss of the push channel and
+pushes that were never sent (`PushChannelStatus`), start times that a cached list only assumes
+(`start_confirmed`), health checks of an earlier incarnation (`SUPERSEDED`), and the removal of
+unreferenced servers from the registry. Settings below their documented minimum are raised to it.
+`left_out` lists the keys of the settings that no module of a version quotes, and that it therefore
+ignores."""
 
 import argparse
 import json
@@ -36,15 +36,15 @@
 
 
 class ComparisonError(Exception):
-    """The two versions, or the days asked for, do not allow a comparison."""
+    """The command line is invalid, or a version failed, so that nothing can be compared."""
 
 
 class DivergenceError(Exception):
-    """The present version answered otherwise."""
+    """The answers of the two versions differ."""
 
 
 class Options(argparse.ArgumentParser):
-    """A parser whose complaint is one line."""
+    """A parser that raises instead of printing its usage."""
 
     def error(self, message: str) -> NoReturn:
         """Raises `ComparisonError`."""
@@ -53,7 +53,7 @@
 
 @dataclass
 class Difference:
-    """The first turn of a day whose answers differ, as each version wrote it."""
+    """The first reconciliation of a day whose answers differ, with both answers."""
 
     seed: int
     kind: str
@@ -64,7 +64,7 @@
 
 @dataclass
 class Comparison:
-    """What the days have shown so far."""
+    """The result of the days so far."""
 
     left_out: dict[str, list[str]] = field(default_factory=dict)  # by version, keys of settings
     days: int = 0
@@ -75,10 +75,10 @@
 
 
 class ComparedDay:
-    """One day that both versions get, driven by the answers of the earlier one."""
+    """One day played with both versions and driven by the answers of the earlier one."""
 
     def __init__(self, seed: int, earlier: VersionProcess, present: VersionProcess) -> None:
-        """Draws the day of the seed."""
+        """Generates the day of the seed."""
         self.seed = seed
         self.day = day_of(seed)
         self.versions = (earlier, present)
@@ -95,11 +95,11 @@
                 session.close()
         except (ComparisonError, VersionError):
             raise
-        except Exception as error:  # of any kind: the world met orders that it cannot carry out
+        except Exception as error:  # the simulation may fail in any way on invalid orders
             raise self.ended_early(EARLIER, f"{type(error).__name__}: {error}") from error
 
     def count(self, orders: Sequence[object]) -> None:
-        """Notes one turn's orders."""
+        """Counts one reconciliation and its orders."""
         self.turns += 1
         self.orders += len(orders)
 
@@ -118,7 +118,7 @@
         return outbox
 
     def outbox(self, version: str, answer: bytes) -> list[Message]:
-        """The messages of an answer, unless it declares a failure of the decisions."""
+        """The messages of an answer; raises `ComparisonError` where it reports a failure."""
         try:
             outbox = decode_answer(answer)
         except WireError as error:
@@ -129,21 +129,21 @@
         return outbox
 
     def ended_early(self, version: str, reason: str) -> ComparisonError:
-        """The error that names the day and the turn."""
+        """An error with the day and the reconciliation."""
         return ComparisonError(
             f"{version}: day {self.seed} ended early at turn {self.turns}: {reason}"
         )
 
 
 def unread_settings(folder: Path) -> list[str]:
-    """Keys of the settings that no module of the version in a folder quotes."""
+    """Keys of the settings that no module of the version in the folder quotes."""
     texts = [path.read_text() for path in (folder / PACKAGE).rglob("*.py")]
     keys = settings_keys(encode_settings(day_of(SEEDS.start).settings))
     return [key for key in keys if not any(f'"{key}"' in text for text in texts)]
 
 
 def compare(earlier_folder: Path, present_folder: Path, seeds: range) -> Comparison:
-    """Plays the days of the seeds with the versions in both folders."""
+    """Plays the seeds' days with the versions in the two folders."""
     result = Comparison(
         {EARLIER: unread_settings(earlier_folder), PRESENT: unread_settings(present_folder)}
     )
@@ -164,7 +164,7 @@
 
 
 def parse_seeds(text: str) -> range:
-    """The seeds of an option."""
+    """Parses `FIRST:END`, the seeds from FIRST to END - 1."""
     match = re.fullmatch(r"([0-9]{1,9}):([0-9]{1,9})", text)
     seeds = range(int(match[1]), int(match[2])) if match else range(0)
     if not seeds:
@@ -173,7 +173,7 @@
 
 
 def read_options(arguments: Sequence[str]) -> argparse.Namespace:
-    """The options of the command line."""
+    """The options of the command line; raises `ComparisonError`."""
     options = Options(prog="benchmarks same")
     options.add_argument("--against", required=True, metavar="COMMIT", help="the earlier version")
     options.add_argument(
@@ -181,13 +181,13 @@
         type=parse_seeds,
         default=SEEDS,
         metavar="FIRST:END",
-        help="the days, END left out",
+        help="the days, without END",
     )
     return options.parse_args(arguments)
 
 
 def report(commit: str, seeds: range, result: Comparison) -> dict[str, Any]:
-    """What is printed as one line."""
+    """The result that is printed as one line of JSON."""
     return {
         "benchmark": "same",
         "against": commit,
@@ -197,7 +197,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Runs the comparison and returns its status."""
+    """Runs the comparison and returns the exit status."""
     try:
         options = read_options(arguments)
         commit = commit_of(options.against)
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,8 +1,8 @@
-"""From the program's start to its first answer, with nothing compiled before and with what `build`
-compiles, at four sizes of the known list: `start [--against COMMIT]`.
+"""The time from the program's start to its first answer, with and without precompiled bytecode, at
+four sizes of the known endpoint list: `start [--against COMMIT]`.
 
-Real processes on loopback, interleaved. Told as ratios to the uncompiled start at no server; with
-an earlier version, its starts stand beside as ratios to the same."""
+Starts processes on loopback, versions interleaved. The figures, also those of an earlier version,
+are ratios to the present version's median start without bytecode and without servers."""
 
 import argparse
 import json
@@ -34,11 +34,11 @@
 
 
 class UsageError(ValueError):
-    """The command line is wrong."""
+    """The command line is invalid."""
 
 
 class Options(argparse.ArgumentParser):
-    """A parser whose complaint is one line."""
+    """A parser that raises instead of printing its usage."""
 
     def error(self, message: str) -> NoReturn:
         """Raises `CallError`."""
@@ -46,7 +46,7 @@
 
 
 def server(number: int) -> dict[str, Any]:
-    """A server in the known list."""
+    """A server's entry in the known list."""
     return {
         "uid": f"s{number}",
         "endpoint": "127.0.0.9:80",
@@ -60,7 +60,7 @@
 
 
 def configuration(port: int, servers: int) -> dict[str, Any]:
-    """A configuration whose discovery and relay do not answer."""
+    """A configuration whose discovery and relay are unreachable."""
     return {
         "name": "n",
         "listen": f"{HOST}:{port}",
@@ -74,8 +74,8 @@
 
 def start_time_s(folder: Path, servers: int) -> float:
     """Seconds from the start of the version in a folder to its first answer."""
-    with socket.create_server((HOST, 0)) as free:
-        port = free.getsockname()[1]
+    with socket.create_server((HOST, 0)) as listener:
+        port = listener.getsockname()[1]
     path = folder / "config.json"
     path.write_text(json.dumps(configuration(port, servers)))
     began = time.perf_counter()
@@ -91,24 +91,24 @@
             if answers(port):
                 return time.perf_counter() - began
             time.sleep(POLL_INTERVAL_S)
-        raise RuntimeError("it ended before it answered")
+        raise RuntimeError("the program exited before it answered")
     finally:
         process.kill()
         process.wait()
 
 
 def answers(port: int) -> bool:
-    """Whether a program answers at a port."""
+    """Whether the program answers a PING on the port."""
     try:
-        with socket.create_connection((HOST, port)) as asker:
-            asker.sendall(PING)
-            return bool(asker.recv(16))
+        with socket.create_connection((HOST, port)) as connection:
+            connection.sendall(PING)
+            return bool(connection.recv(16))
     except OSError:
         return False
 
 
 def prepare(sources: Path, folder: Path, compiled: bool) -> None:
-    """Copies a version's package into a folder."""
+    """Copies a version's package into a folder and optionally compiles it."""
     skipped = shutil.ignore_patterns("__pycache__")
     shutil.copytree(sources / PACKAGE, folder / PACKAGE, ignore=skipped)
     if compiled:
@@ -116,7 +116,7 @@
 
 
 def prepare_all(workspace: Path, before: str | None) -> dict[str, Path]:
-    """Folders with each version, plain and compiled, by what the figures call them."""
+    """Folders with each version, plain and compiled, by their names in the figures."""
     versions = {"": ROOT}
     if before is not None:
         versions["earlier "] = workspace / "sources"
@@ -130,7 +130,7 @@
 
 
 def measure(before: str | None = None) -> dict[str, Any]:
-    """All figures, beside those of an earlier version if one is named."""
+    """All figures, with those of an earlier version if one is given."""
     with tempfile.TemporaryDirectory() as workspace:
         folders = prepare_all(Path(workspace), before)
         times: dict[tuple[str, int], list[float]] = {
@@ -155,7 +155,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Prints the figures as one line; returns the status."""
+    """Prints the figures as one line of JSON; returns the exit status."""
     options = Options(prog="benchmarks start")
     options.add_argument("--against", metavar="COMMIT", help="an earlier version")
     try:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,28 +1,28 @@
-"""KNOWN-RED.txt, read by every run, and the same draws in every run; see `known_red.py` and
+"""Applies KNOWN-RED.txt and the Hypothesis profile to every run; see `known_red.py` and
 `hypothesis_profile.py`."""
 
 import hypothesis_profile
 import pytest
-from known_red import KnownRedListError, known_red, unnamed
+from known_red import KnownRedListError, missing_tests, parse_known_red
 
 
 def pytest_configure(config):
     hypothesis_profile.load(config.rootpath)
     path = config.rootpath / "KNOWN-RED.txt"
     try:
-        config.known_red = known_red(path.read_text()) if path.exists() else {}
+        config.known_red = parse_known_red(path.read_text()) if path.exists() else {}
     except KnownRedListError as error:
         raise pytest.UsageError(str(error)) from None
 
 
-@pytest.hookimpl(tryfirst=True)  # before -k leaves any out
+@pytest.hookimpl(tryfirst=True)  # before -k deselects any test
 def pytest_collection_modifyitems(config, items):
     listed = config.known_red
-    # A run of one test alone says nothing of the others of its file.
-    if not any("::" in word for word in config.args):
-        gone = unnamed(listed, {item.nodeid for item in items}, config.rootpath)
-        if gone:
-            raise pytest.UsageError(f"KNOWN-RED.txt names no test: {', '.join(gone)}")
+    # A run of selected tests does not collect the other tests of their files.
+    if not any("::" in argument for argument in config.args):
+        missing = missing_tests(listed, {item.nodeid for item in items}, config.rootpath)
+        if missing:
+            raise pytest.UsageError(f"KNOWN-RED.txt names no test: {', '.join(missing)}")
     for item in items:
         if item.nodeid in listed:
             entry = listed[item.nodeid]
--- a/tests/hypothesis_profile.py
+++ b/tests/hypothesis_profile.py
@@ -1,6 +1,6 @@
-"""The profile of Hypothesis that all drawn tests run under: a run draws what every other run draws.
+"""The Hypothesis profile of all property tests: every run draws the same values.
 
-Tests keep their own `max_examples`; drawing with fresh seeds is the job of `python -m fuzz run`.
+Tests keep their own `max_examples`; `python -m fuzz run` draws with new seeds.
 """
 
 import importlib
@@ -13,10 +13,10 @@
 
 
 def load(root: Path) -> None:
-    """Make the profile the default of all tests that are collected afterwards."""
-    # The parent is named, for Hypothesis has another default where it finds a CI. No example
-    # database: a failing draw that it kept would come first in the next run. No deadline, as the
-    # drawn tests had it: it would measure how busy the machine is.
+    """Makes the profile the default of all tests that are collected afterwards."""
+    # The parent is explicit because Hypothesis has another default profile in CI. There is no
+    # example database because the next run would first repeat a failing example from it, and no
+    # deadline because it would depend on the machine's load.
     settings.register_profile(
         PROFILE,
         parent=settings.get_profile("default"),
@@ -29,10 +29,10 @@
 
 
 def import_packages(root: Path) -> None:
-    """Import every module of the packages at the root.
+    """Imports every module of the packages at the root.
 
-    Hypothesis draws some values from the constants in the loaded modules of the project, so that a
-    test run alone would draw otherwise than in a run of all tests."""
+    Hypothesis draws some values from the constants in the project's loaded modules. Without this, a
+    test would draw other values alone than in a run of all tests."""
     for module in pkgutil.walk_packages([str(root)]):
         in_package = "." in module.name
         if in_package and not module.name.endswith(".__main__"):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,10 +1,10 @@
-"""KNOWN-RED.txt at the root: tests that fail for a real fault which waits for its issue.
+"""KNOWN-RED.txt at the root: tests that fail because of a known fault with an open issue.
 
 An entry is one line, `test | command | seed | what was seen | issue`, for example
 `tests/a.py::b | python -m pytest tests/a.py::b | seed 7 | a proxy without a server | issue 45`;
-`no seed` where nothing is drawn. Strict, so that the list cannot become a place to leave tests:
-each entry says all of it and names a test there is, and a listed test that passes is red. Absent or
-empty is the normal state.
+`no seed` where nothing is drawn. The list is strict, so that tests are not parked in it: each entry
+must be complete and name an existing test, and a listed test that passes fails the run. The file is
+normally absent or empty.
 """
 
 import re
@@ -17,11 +17,11 @@
 
 
 class KnownRedListError(ValueError):
-    """The list cannot stand as it is; the text says which line and why."""
+    """The list is invalid; the message has the line and the reason."""
 
 
 class Entry(NamedTuple):
-    """A listed test, with what is needed to see its fault again."""
+    """A listed test and how to reproduce its fault."""
 
     test: str
     command: str
@@ -30,8 +30,8 @@
     issue: str
 
 
-def known_red(text: str) -> dict[str, Entry]:
-    """The entries by the ids of their tests."""
+def parse_known_red(text: str) -> dict[str, Entry]:
+    """Parses the list; returns its entries by test id. Raises `KnownRedListError`."""
     entries: dict[str, Entry] = {}
     for line in text.splitlines():
         if not line.strip():
@@ -44,31 +44,31 @@
 
 
 def parse_entry(line: str) -> Entry:
-    """The entry of a line; raises `KnownRedListError` where it does not say all."""
+    """Parses the entry of a line; raises `KnownRedListError`."""
     fields = [field.strip() for field in line.split(SEPARATOR)]
     if len(fields) != len(Entry._fields):
         raise KnownRedListError(
             f"KNOWN-RED.txt: not `{SEPARATOR.join(Entry._fields)}`: {line[:100]}"
         )
     entry = Entry(*fields)
-    wrong = [
+    invalid = [
         name
-        for name, holds in (
+        for name, valid in (
             ("test", "::" in entry.test),
             ("command", entry.test.partition("[")[0] in entry.command),
             ("seed", SEED.fullmatch(entry.seed)),
             ("seen", entry.seen),
             ("issue", ISSUE.fullmatch(entry.issue)),
         )
-        if not holds
+        if not valid
     ]
-    if wrong:
-        raise KnownRedListError(f"KNOWN-RED.txt: wrong {', '.join(wrong)}: {line[:100]}")
+    if invalid:
+        raise KnownRedListError(f"KNOWN-RED.txt: invalid {', '.join(invalid)}: {line[:100]}")
     return entry
 
 
-def unnamed(listed: dict[str, Entry], collected: set[str], root: Path) -> list[str]:
-    """The entries that name no test: their file is missing, or was collected without it."""
+def missing_tests(listed: dict[str, Entry], collected: set[str], root: Path) -> list[str]:
+    """Listed tests that do not exist: their file is missing, or was collected without them."""
     files = {name.partition("::")[0] for name in collected}
     return [
         name
--- a/tests/test_hypothesis_profile.py
+++ b/tests/test_hypothesis_profile.py
@@ -1,5 +1,4 @@
-"""Drawn tests draw the same in every run, whatever ran before, runs beside them or is drawn by the
-fuzzer."""
+"""Property tests draw the same values in every run, alone or with other tests."""
 
 import os
 import shutil
@@ -33,7 +32,7 @@
 
 @pytest.fixture
 def project(tmp_path):
-    """A project with drawn tests, and a test beside them that imports a module of constants."""
+    """A project with property tests and a test that imports a module of constants."""
     (tmp_path / "tests").mkdir()
     (tmp_path / "product").mkdir()
     (tmp_path / "pyproject.toml").write_text(
@@ -51,7 +50,7 @@
 
 
 def draws(project, *arguments, **variables) -> list:
-    """What a run draws; each run must fail for the same draw as any other."""
+    """The values that a run draws; every run must fail with the same example."""
     (project / "draws").unlink(missing_ok=True)
     run = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *arguments],
@@ -64,15 +63,15 @@
     return (project / "draws").read_text(encoding="utf-8").splitlines()
 
 
-def test_a_drawn_test_draws_the_same_alone_and_among_others(project):
-    whole = draws(project, PYTHONHASHSEED="1")
-    assert len(whole) == EXAMPLES
-    assert draws(project, PYTHONHASHSEED="2") == whole
-    assert draws(project, "tests/test_drawn.py") == whole
-    assert draws(project, CI="true") == whole
+def test_a_property_test_draws_the_same_alone_and_with_others(project):
+    complete = draws(project, PYTHONHASHSEED="1")
+    assert len(complete) == EXAMPLES
+    assert draws(project, PYTHONHASHSEED="2") == complete
+    assert draws(project, "tests/test_drawn.py") == complete
+    assert draws(project, CI="true") == complete
 
 
-def test_a_failing_draw_is_not_kept_for_the_next_run(project):
+def test_a_failing_example_is_not_stored_for_the_next_run(project):
     draws(project)
     assert not (project / ".hypothesis/examples").exists()
 
@@ -89,15 +88,15 @@
 
 
 def test_the_fuzzer_draws_by_its_seed_also_under_this_profile():
-    def searched(seed) -> list:
+    def fuzzer_draws(seed) -> list:
         drawn = []
 
-        def one(data):
+        def record(data):
             drawn.append(data)
 
-        child.batch_test(one, st.binary(min_size=4, max_size=40), seed)()
+        child.batch_test(record, st.binary(min_size=4, max_size=40), seed)()
         return drawn
 
-    first = searched(1)
+    first = fuzzer_draws(1)
     assert len(first) == child.EXAMPLES_PER_BATCH
-    assert searched(1) == first and searched(2) != first
+    assert fuzzer_draws(1) == first and fuzzer_draws(2) != first
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are red for a real fault, as the test run reads it."""
+"""The list of tests that fail because of a known fault, and how a test run applies it."""
 
 import shutil
 import subprocess
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from known_red import KnownRedListError, known_red
+from known_red import KnownRedListError, parse_known_red
 
 TESTS = "def test_red():\n    assert 0\n\n\ndef test_green():\n    pass\n"
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    "lines, status, said",
+    "lines, status, expected",
     [
         (None, 1, "1 failed, 1 passed"),
         ("", 1, "1 failed, 1 passed"),
@@ -36,7 +36,7 @@
         (f"{RED}: a fault: issue 1", 4, "not `test | command | seed | seen | issue`"),
     ],
 )
-def test_a_run_passes_over_just_what_is_listed(tmp_path, lines, status, said):
+def test_only_listed_tests_may_fail(tmp_path, lines, status, expected):
     (tmp_path / "tests").mkdir()
     (tmp_path / "pyproject.toml").write_text("[tool.pytest.ini_options]\ntestpaths = ['tests']\n")
     for name in ("conftest.py", "hypothesis_profile.py", "known_red.py"):
@@ -50,7 +50,7 @@
         capture_output=True,
         text=True,
     )
-    assert run.returncode == status and said in run.stdout + run.stderr
+    assert run.returncode == status and expected in run.stdout + run.stderr
 
 
 @pytest.mark.parametrize(
@@ -69,12 +69,12 @@
         f"{entry('tests/a.py::b')}\n{entry('tests/a.py::b')}",
     ],
 )
-def test_a_line_that_does_not_say_all_is_no_line(line):
+def test_an_incomplete_entry_is_refused(line):
     with pytest.raises(KnownRedListError):
-        known_red(line)
+        parse_known_red(line)
 
 
-def test_a_test_with_parameters_and_no_seed_is_listed_by_its_whole_name():
+def test_a_parametrized_test_without_a_seed_is_listed_by_its_complete_id():
     test = "tests/a.py::b[x-1]"
     line = f"{test} | python -m pytest tests/a.py::b | no seed | seen | issue 45"
-    assert known_red(line)[test].issue == "issue 45"
+    assert parse_known_red(line)[test].issue == "issue 45"
--- a/tests/version_copies.py
+++ b/tests/version_copies.py
@@ -1,4 +1,4 @@
-"""Copies of the working tree's version, which stand for any commit, and changes in them."""
+"""Copies of the working tree's version and changes to them, for tests that compare versions."""
 
 import re
 import shutil
@@ -9,7 +9,7 @@
 
 
 def copy_of_version(folder: Path) -> Path:
-    """Copies what a version runs by into a folder."""
+    """Copies the package and the deploy file into a folder."""
     skipped = shutil.ignore_patterns("__pycache__")
     shutil.copytree(ROOT / PACKAGE, folder / PACKAGE, ignore=skipped)
     (folder / DEPLOY_FILE).parent.mkdir()
@@ -18,11 +18,11 @@
 
 
 def patch(folder: Path, pattern: str, new: str, within: str = PACKAGE) -> None:
-    """Changes the one place of a version that the pattern matches, in a package of it."""
+    """Replaces the only match of the pattern in the modules of a version's package."""
     texts = {path: path.read_text() for path in (folder / within).rglob("*.py")}
-    places = [path for path, text in texts.items() for _ in re.finditer(pattern, text)]
-    assert len(places) == 1, f"{pattern!r} is no longer one place but {len(places)}"
-    places[0].write_text(re.sub(pattern, new, texts[places[0]]))
+    matches = [path for path, text in texts.items() for _ in re.finditer(pattern, text)]
+    assert len(matches) == 1, f"{pattern!r} must have one match, not {len(matches)}"
+    matches[0].write_text(re.sub(pattern, new, texts[matches[0]]))
 
 
 def add_at_import(folder: Path, code: str) -> None:
