--- a/havendyke/lab/scale/hollow.py
+++ b/havendyke/lab/scale/hollow.py
@@ -146,10 +146,10 @@
             self.next_report = (self.next_report + 1) % len(messages)
             zone, message = messages[self.next_report]
             sent.setdefault(zone, []).append(message)
-        for position, zone in enumerate(ZONE_NAMES[: size.zones]):
+        for index, zone in enumerate(ZONE_NAMES[: size.zones]):
             if zone in sent:
                 self.after(
-                    REPORT_WINDOW_MS * position / size.zones,
+                    REPORT_WINDOW_MS * index / size.zones,
                     lambda z=zone: self.deliver(z, sent[z]),
                 )
 
--- a/havendyke/lab/scale/page.py
+++ b/havendyke/lab/scale/page.py
@@ -439,10 +439,8 @@
     def ranking(self) -> str:
         rows = []
         for c in sorted(roles.CANDIDATES, key=lambda c: -c.weight(self.capacity, self.size)):
-            met, now = (
-                c.exhausted_at(self.capacity),
-                c.share(self.capacity, roles.size_between(0.0)),
-            )
+            exhausted = c.exhausted_at(self.capacity)
+            current_share = c.share(self.capacity, roles.size_between(0.0))
             rows.append(
                 [
                     c.name,
@@ -450,8 +448,8 @@
                     f"{format_figure(c.value(self.capacity, self.size))} {c.unit}/s",
                     f"{c.share(self.capacity, self.size):.2f}",
                     f"{c.time_share:.1g}",
-                    f"{now:.2f}",
-                    f"{met[0]:.0f} and {met[1]:.0f}" if met else "not on the way",
+                    f"{current_share:.2f}",
+                    f"{exhausted[0]:.0f} and {exhausted[1]:.0f}" if exhausted else "not on the way",
                     c.harm,
                     c.mechanism,
                 ]
@@ -472,14 +470,14 @@
         )
 
 
-def replace_tables(page: str, blocks: dict) -> str:
+def replace_tables(page: str, tables: dict) -> str:
     """The page with the text between its markers replaced."""
 
-    def replace(found):
-        if found["name"] not in blocks:
-            raise PageError(f"no table is named '{found['name']}'")
+    def replace(match):
+        if match["name"] not in tables:
+            raise PageError(f"no table is named '{match['name']}'")
         return (
-            f"<!-- begin {found['name']} -->\n{blocks[found['name']]}\n<!-- end {found['name']} -->"
+            f"<!-- begin {match['name']} -->\n{tables[match['name']]}\n<!-- end {match['name']} -->"
         )
 
     if not TABLE_MARKER.search(page):
@@ -489,9 +487,9 @@
 
 def rewrite_pages(folder: Path, pages: list) -> list:
     """Rewrites the pages' tables from the records; returns the pages that changed."""
-    blocks, changed = Page(record.read_all(folder)).tables(), []
+    tables, changed = Page(record.read_all(folder)).tables(), []
     rewritten = [
-        (path, replace_tables(Path(path).read_text(), blocks)) for path in pages
+        (path, replace_tables(Path(path).read_text(), tables)) for path in pages
     ]  # all pages before any is written
     for path, text in rewritten:
         if text != Path(path).read_text():
--- a/havendyke/lab/scale/scenario.py
+++ b/havendyke/lab/scale/scenario.py
@@ -74,13 +74,13 @@
         elif phase.name == "release":
             names = fleet.rng.sample(fleet.task_names, min(RACK_TASKS, len(fleet.task_names) // 5))
             self.restarted_tasks = set(names)
-            for position, name in enumerate(names):
-                fleet.schedule_change(RACK_DRAIN_MS * position / len(names), [name], "terminating")
+            for index, name in enumerate(names):
+                fleet.schedule_change(RACK_DRAIN_MS * index / len(names), [name], "terminating")
                 fleet.schedule_change(
-                    RACK_DRAIN_MS * position / len(names) + SECOND_MS * 3, [name], "terminated"
+                    RACK_DRAIN_MS * index / len(names) + SECOND_MS * 3, [name], "terminated"
                 )
                 fleet.schedule_change(
-                    RACK_DRAIN_MS * position / len(names) + SECOND_MS * 4, [name], "in_service"
+                    RACK_DRAIN_MS * index / len(names) + SECOND_MS * 4, [name], "in_service"
                 )
         elif phase.name in ("zone", "region"):
             lost = (
--- a/havendyke/lab/scale/standins.py
+++ b/havendyke/lab/scale/standins.py
@@ -82,9 +82,9 @@
         super().__init__(simulation, entries)
         self.cached_list = None
 
-    def list_body(self, whole, since=-1):
-        if not whole:
-            return super().list_body(whole, since)
+    def list_body(self, complete, since=-1):
+        if not complete:
+            return super().list_body(complete, since)
         if self.cached_list is None or self.cached_list[0] != self.version:
-            self.cached_list = (self.version, super().list_body(whole))
+            self.cached_list = (self.version, super().list_body(complete))
         return self.cached_list[1]
--- a/tests/lab/test_scale_run.py
+++ b/tests/lab/test_scale_run.py
@@ -31,17 +31,17 @@
 @cache
 def count(**axes) -> dict:
     """Bytes and messages of each phase and kind, and the bytecode instructions of a calm second."""
-    run = run_scenario(**axes)
+    scenario = run_scenario(**axes)
     counts = {
         (phase, kind, unit): sum(
             measured["traffic"][kind].get(f"{direction}_{unit}", 0) for direction in ("in", "out")
         )
-        for phase, measured in run.measured.items()
+        for phase, measured in scenario.measured.items()
         for kind in measured["traffic"]
         for unit in ("bytes", "messages")
     }
     with InstructionCounter() as instructions:
-        run.run_second(SHORT_PHASES[2], 0)
+        scenario.run_second(SHORT_PHASES[2], 0)
     return counts | {"instructions": instructions.count}
 
 
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    "axis, key, most",
+    "axis, key, maximum",
     [
         ("tasks", ("calm", "list", "bytes"), DOUBLE),
         ("tasks", ("calm", "watch", "bytes"), 1.05),
@@ -80,9 +80,9 @@
         ("slices", ("start", "news", "bytes"), DOUBLE),
     ],
 )
-def test_bytes_and_messages_grow_no_faster_than_their_axis(axis, key, most):
+def test_bytes_and_messages_grow_no_faster_than_their_axis(axis, key, maximum):
     before = count()[key]
-    assert count(**{axis: 2 * getattr(SMALL, axis)})[key] <= most * before
+    assert count(**{axis: 2 * getattr(SMALL, axis)})[key] <= maximum * before
 
 
 @pytest.mark.parametrize("axis", ["slices", "proxies", "reports", "assigners", "changes"])
@@ -98,19 +98,19 @@
 
 
 @pytest.mark.parametrize(
-    "phase, kind, most", [("calm", "probes", 70), ("calm", "list", 90), ("start", "watch", 90)]
+    "phase, kind, maximum", [("calm", "probes", 70), ("calm", "list", 90), ("start", "watch", 90)]
 )
-def test_a_request_of_the_assigner_stays_short(phase, kind, most):
+def test_a_request_of_the_assigner_stays_short(phase, kind, maximum):
     sent = run_scenario().measured[phase]["traffic"][kind]
-    assert 0 < sent["out_bytes"] <= most * sent["out_messages"]
+    assert 0 < sent["out_bytes"] <= maximum * sent["out_messages"]
 
 
 def test_an_order_stays_short():
-    run = run_scenario().measured["release"]
+    release = run_scenario().measured["release"]
     assert (
         0
-        < run["traffic"]["calls"]["out_bytes"]
-        <= 100 * run["orders"] + 100 * run["traffic"]["calls"]["out_messages"]
+        < release["traffic"]["calls"]["out_bytes"]
+        <= 100 * release["orders"] + 100 * release["traffic"]["calls"]["out_messages"]
     )
 
 
