--- a/benchmarks/_days.py
+++ b/benchmarks/_days.py
@@ -159,9 +159,11 @@
             ),
         )
 
-    def list_entry(self, server: Any, state: str, started: float | None) -> interface.EndpointEntry:
+    def list_entry(
+        self, server: Any, state: str, started_ms: float | None
+    ) -> interface.EndpointEntry:
         """An entry of the list, with a size by its cell."""
-        made = super().list_entry(server, state, started)
+        made = super().list_entry(server, state, started_ms)
         return replace(made, size=(1.0, 1.0, 0.5, 2.0)[made.cell])
 
     def request_rates(self) -> dict[Any, float]:
--- a/fuzz/cases.py
+++ b/fuzz/cases.py
@@ -14,7 +14,7 @@
     PACKAGE_DIR / "findings",
     PACKAGE_DIR / ".work",
 )
-MAX_INPUT_BYTES = 4096  # bytes of a kept input
+MAX_INPUT_BYTES = 4096  # of a kept input
 
 
 class InvalidInput(ValueError):
--- a/fuzz/engine.py
+++ b/fuzz/engine.py
@@ -103,7 +103,7 @@
     return coverage
 
 
-def run(targets: list, seconds: int, jobs: int, seed: int, engine=None, tell=print) -> list:
+def run(targets: list, seconds: int, jobs: int, seed: int, engine=None, report=print) -> list:
     """Runs the targets, `jobs` at a time; each run is reported and appended to `runs.jsonl`."""
 
     def run_numbered(numbered):
@@ -113,7 +113,7 @@
             "at": datetime.now(timezone.utc).strftime("%Y-%m-%dT%H:%MZ"),
             "version": engine_version(result["engine"]),
         }
-        tell(result)
+        report(result)
         return result
 
     for target in targets:
--- a/fuzz/targets/controllers.py
+++ b/fuzz/targets/controllers.py
@@ -180,16 +180,16 @@
     """Each step by itself, with and without exclusive ownership, and combinations."""
     count = len(JointScenario.STEPS)
     single_steps = [
-        bytes([k % 4, k % 3, k % 5, 1, owners, k % 2, 2, k])
+        bytes([k % 4, k % 3, k % 5, 1, exclusive, k % 2, 2, k])
         + bytes([240 + k if 240 + k < 250 else k, 9 * k, 60, k])
         for k in range(count)
-        for owners in (0, 1)
+        for exclusive in (0, 1)
     ]
     # A proxy disconnects while a migration of a drain waits for its acknowledgement.
     during_drain = [
-        bytes([0, 0, 4, 1, 1, 0, 1, seed, 3, 0, 0, 0, op, proxy, 200, 1])
+        bytes([0, 0, 4, 1, 1, 0, 1, seed, 3, 0, 0, 0, step, proxy, 200, 1])
         for seed in (1, 2)
-        for op in (4, 8)
+        for step in (4, 8)
         for proxy in (0, 3)
     ]
     # The servers of a zone restart while they serve all their slices.
--- a/fuzz/targets/core.py
+++ b/fuzz/targets/core.py
@@ -50,7 +50,7 @@
                 check(
                     order.server in servers
                     and order.slice in slices | set(registry.controller.slices),
-                    "a weight order for an unknown server or slice:",
+                    "a weight order for an unknown server or slice",
                 )
             case core.SetEjection():
                 check(
--- a/fuzz/targets/machines.py
+++ b/fuzz/targets/machines.py
@@ -354,14 +354,14 @@
         self.simulation.refused_ports = set()
 
 
-CALLS = (
+CALL_STEPS = (
     PeerFaults.set_call_outcome,
     PeerFaults.cause_orders,
     PeerFaults.break_relay_calls,
     PeerFaults.wait,
     PeerFaults.relay_down,
 )
-TURNS = (
+WATCH_STEPS = (
     PeerFaults.break_relay_watches,
     PeerFaults.reconnect_proxy,
     PeerFaults.reassign_slice,
@@ -371,7 +371,7 @@
     PeerFaults.delay_table_entries,
     PeerFaults.cause_orders,
 )
-LISTS = (
+LIST_STEPS = (
     PeerFaults.change_servers,
     PeerFaults.break_discovery_watches,
     PeerFaults.discovery_down,
@@ -380,7 +380,7 @@
     PeerFaults.add_server,
     PeerFaults.wait,
 )
-CALLERS = (
+CLIENT_STEPS = (
     PeerFaults.connect_collector,
     PeerFaults.flood_connections,
     PeerFaults.disconnect_client,
@@ -388,7 +388,7 @@
     PeerFaults.stall,
     PeerFaults.set_health_check_reply,
 )
-MOVES = (
+RELOAD_STEPS = (
     PeerFaults.change_addresses,
     PeerFaults.refuse_connections,
     PeerFaults.set_call_outcome,
@@ -398,7 +398,9 @@
     PeerFaults.reassign_slice,
     PeerFaults.wait,
 )
-ALL = tuple(dict.fromkeys(CALLS + TURNS + LISTS + CALLERS + MOVES))
+ALL_STEPS = tuple(
+    dict.fromkeys(CALL_STEPS + WATCH_STEPS + LIST_STEPS + CLIENT_STEPS + RELOAD_STEPS)
+)
 
 
 def step_seeds(steps) -> list:
@@ -426,33 +428,33 @@
 register_faults(
     "calls",
     "calls to the relay with every outcome in any order",
-    CALLS,
+    CALL_STEPS,
     ("net/relay_client", "net/unresolved_call", "net/order_queue"),
 )
 register_faults(
     "turns",
     "watch events on two streams that break, are delayed and repeat messages",
-    TURNS,
+    WATCH_STEPS,
     ("net/relay_watch", "net/relay_stream", "net/slice_assignments", "net/relay_client"),
     relay_watch_count=2,
 )
 register_faults(
     "lists",
     "changes of the endpoint list and its version over watches that break",
-    LISTS,
+    LIST_STEPS,
     ("net/discovery",),
 )
 register_faults(
     "list_checks",
     "the same with an endpoint list over the bandwidth budget, which is checked by version",
-    LISTS,
+    LIST_STEPS,
     ("net/discovery", "net/list_pace", "net/list_queries"),
     discovery_bytes_per_s=50.0,
 )
 register_faults(
     "callers",
     "collectors, unidentified clients, floods of connections and health checks",
-    CALLERS,
+    CLIENT_STEPS,
     ("net/collectors", "net/health_checks"),
     max_clients=24,
     max_connections=64,
@@ -460,7 +462,7 @@
 register_faults(
     "moves",
     "reloads that change the peers' addresses during other faults",
-    MOVES,
+    RELOAD_STEPS,
     (
         "net/relay_client",
         "net/relay_watch",
@@ -470,7 +472,11 @@
     ),
 )
 register_faults(
-    "world", "the steps of all these targets together", ALL, ("net", "policy"), relay_watch_count=2
+    "world",
+    "the steps of all these targets together",
+    ALL_STEPS,
+    ("net", "policy"),
+    relay_watch_count=2,
 )
 
 
@@ -536,7 +542,7 @@
                 number,
                 "with",
                 len(acquired),
-                "held",
+                "in use",
             )
             if number is not None:
                 check(number not in acquired, "slot", number, "was acquired twice")
--- a/fuzz/targets/recovery.py
+++ b/fuzz/targets/recovery.py
@@ -1,5 +1,5 @@
-"""What lies on disk and what is believed of it: damaged files, crashed commits, clocks that were
-set, the operator's file."""
+"""Persisted state and its recovery: damaged files, crashes during commits, changes of the clock,
+and the operator's file."""
 
 import math
 from copy import deepcopy
@@ -23,10 +23,14 @@
 from ..registry import check, register
 
 LISTED_STATES = (ServerState.READY, ServerState.DRAINING)
-EVIDENCE = (EvidenceSource.HEALTH_CHECK, EvidenceSource.LOAD_REPORT, EvidenceSource.SNAPSHOT)
-FRAMES = records.encode_header() + b"".join(
-    records.encode_frame(k, kind, told)
-    for k, (kind, told) in enumerate(
+EVIDENCE_SOURCES = (
+    EvidenceSource.HEALTH_CHECK,
+    EvidenceSource.LOAD_REPORT,
+    EvidenceSource.SNAPSHOT,
+)
+RECORD_FILE = records.encode_header() + b"".join(
+    records.encode_frame(k, kind, fields)
+    for k, (kind, fields) in enumerate(
         [
             ("begin", {"generation": 1}),
             ("lists", {"version": 5}),
@@ -39,77 +43,81 @@
 
 @register(
     name="records",
-    description="files of records, damaged anywhere: only what was written comes out",
+    description="record files damaged anywhere: only records that were written are read",
     max_size=400,
     covers=("recovery/records", "recovery/codec", "recovery/changes", "recovery/state"),
     dictionary=(records.MAGIC, b"\0\2", b"\0\1", b"[0,", b'"entry"', b"{}]"),
     seeds=lambda: [
-        FRAMES,
-        FRAMES[:-1],
-        FRAMES[:9],
+        RECORD_FILE,
+        RECORD_FILE[:-1],
+        RECORD_FILE[:9],
         b"",
         records.encode_header(1) + records.encode_frame(0, "entry", {}, 1),
         records.encode_header() + b"\xff" * 20,
-        FRAMES + FRAMES[8:],
+        RECORD_FILE + RECORD_FILE[8:],
         records.encode_header() + records.encode_frame(7, "x", {}),
     ],
 )
-def read(data):
+def record_files(data):
     try:
-        schema_, made, damage = records.read_records(data)
+        schema_, file_records, damage = records.read_records(data)
     except records.RecordFileError as error:
         check("\n" not in str(error), "not one line:", str(error))
         return
-    # What was accepted is, byte for byte, what would be written.
-    again = records.encode_header(schema_)
-    for serial, kind, fields in made:
-        at = len(again)
-        size = int.from_bytes(data[at : at + 4], "big")
+    # The accepted records would be written with the same bytes.
+    encoded = records.encode_header(schema_)
+    for serial, kind, fields in file_records:
+        offset = len(encoded)
+        size = int.from_bytes(data[offset : offset + 4], "big")
         check(
-            data[at + 4 : at + 12]
-            == records.checksum(data[at : at + 4], data[at + 12 : at + 12 + size], schema_),
+            data[offset + 4 : offset + 12]
+            == records.checksum(
+                data[offset : offset + 4], data[offset + 12 : offset + 12 + size], schema_
+            ),
             "a checksum",
         )
-        again += data[at : at + 12 + size]
+        encoded += data[offset : offset + 12 + size]
     check(
-        damage is None and len(again) == len(data) or damage and damage.offset == len(again),
+        damage is None and len(encoded) == len(data) or damage and damage.offset == len(encoded),
         "read to",
-        len(again),
+        len(encoded),
         damage,
     )
-    made_of = PersistedState()
-    for _, kind, fields in made:
+    state = PersistedState()
+    for _, kind, fields in file_records:
         try:
-            codec.decode(kind, fields, schema_).apply(made_of)
+            codec.decode(kind, fields, schema_).apply(state)
         except codec.RecordError:
             pass
-    check(changes.snapshot(made_of) is not None, "no state")
+    check(changes.snapshot(state) is not None, "no state")
 
 
-def changed(kept: PersistedState, draw):
+def change_state(state: PersistedState, draw):
     """A state with one drawn change."""
-    made, uid = deepcopy(kept), f"s{draw.below(4)}"
+    changed_state, uid = deepcopy(state), f"s{draw.below(4)}"
     kind = draw.below(4)
     if kind == 0:
-        made.servers[uid] = ServerRecord(
+        changed_state.servers[uid] = ServerRecord(
             state=draw.choice(LISTED_STATES),
             started_ms=float(draw.below(9)),
             list_version=draw.below(9),
         )
     elif kind == 1:
-        made.servers.pop(uid, None)
-        made.tombstones[uid] = Tombstone(0.0, ServerState.GONE, draw.below(9), None)
+        changed_state.servers.pop(uid, None)
+        changed_state.tombstones[uid] = Tombstone(0.0, ServerState.GONE, draw.below(9), None)
     elif kind == 2:
-        made.slices[draw.below(3)] = SliceTable({uid: draw.fraction()}, draw.flag())
+        changed_state.slices[draw.below(3)] = SliceTable({uid: draw.fraction()}, draw.flag())
     else:
-        made.ejected.pop(uid, None) if draw.flag() else made.ejected.setdefault(uid)
-    return made
+        changed_state.ejected.pop(uid, None) if draw.flag() else changed_state.ejected.setdefault(
+            uid
+        )
+    return changed_state
 
 
 @register(
     name="folder",
     description=(
-        "commits, new generations, crashes at any call, bits flipped: one of the states that were"
+        "commits, new generations, crashes at any call, flipped bits: recovers a committed state"
     ),
     covers=(
         "recovery/directory",
@@ -125,130 +133,138 @@
         for k in (0, 7, 40, 90, 255)
     ],
 )
-def folder(data):
-    memory, present = Storage(), PersistedState()
-    committed, flipped = [deepcopy(present)], False
-    made = StateDirectory(SimulatedDisk(memory), 400)
-    made.open()
+def state_directories(data):
+    storage, current_state = Storage(), PersistedState()
+    committed, flipped = [deepcopy(current_state)], False
+    directory = StateDirectory(SimulatedDisk(storage), 400)
+    directory.open()
     for begin in range(0, len(data), 4):
         draw = Draw(data[begin : begin + 4])
         kind, a = draw.below(5), draw.byte()
-        wanted = changed(present, draw)
+        target_state = change_state(current_state, draw)
         try:
             if kind < 2:
-                difference = changes.difference(present, wanted)
+                difference = changes.difference(current_state, target_state)
                 if difference:
-                    made.commit(difference, wanted)
-                    present = wanted
-                    committed.append(deepcopy(present))
+                    directory.commit(difference, target_state)
+                    current_state = target_state
+                    committed.append(deepcopy(current_state))
                 continue
             if kind == 2:
-                # It dies at a call of the commit: this state may have been kept, or not.
-                made.disk.die_at_call = made.disk.calls + 1 + a % 9
-                committed.append(deepcopy(wanted))
-                made.commit(changes.difference(present, wanted), wanted)
-                present = wanted
+                # The process dies during the commit: either state may be the recovered one.
+                directory.disk.die_at_call = directory.disk.calls + 1 + a % 9
+                committed.append(deepcopy(target_state))
+                directory.commit(changes.difference(current_state, target_state), target_state)
+                current_state = target_state
         except ProcessDied:
             pass
-        memory.crash(("all", "none", "half")[a % 3])
-        if kind == 4 and memory.live:
-            name = sorted(memory.live)[a % len(memory.live)]
-            if memory.live[name]:
-                memory.live[name][a * 7 % len(memory.live[name])] ^= 1 << a % 8
+        storage.crash(("all", "none", "half")[a % 3])
+        if kind == 4 and storage.live:
+            name = sorted(storage.live)[a % len(storage.live)]
+            if storage.live[name]:
+                storage.live[name][a * 7 % len(storage.live[name])] ^= 1 << a % 8
                 flipped = True
-        made = StateDirectory(SimulatedDisk(memory), 400)
-        found = made.open()
-        check(found.state in committed, "a state that never was:", found.findings)
-        # Without damage nothing that was acknowledged is lost.
+        directory = StateDirectory(SimulatedDisk(storage), 400)
+        opened = directory.open()
+        check(
+            opened.state in committed,
+            "recovered a state that was never committed:",
+            opened.findings,
+        )
+        # Without damage no acknowledged commit is lost.
         check(
-            flipped or found.state in (present, committed[-1]),
-            "older than what was acknowledged:",
-            found.findings,
+            flipped or opened.state in (current_state, committed[-1]),
+            "recovered a state older than the acknowledged one:",
+            opened.findings,
         )
-        present = found.state
-        committed.append(deepcopy(present))
+        current_state = opened.state
+        committed.append(deepcopy(current_state))
     check(
-        sum(n.startswith("damaged") for n in memory.live) <= 5, "more damaged files than are kept"
+        sum(n.startswith("damaged") for n in storage.live) <= 5, "too many damaged files are kept"
     )
 
 
-COLD = 16_000.0
+WARM_UP_MS = 16_000.0
 
 
 @register(
     name="beliefs",
-    description="lists, evidence, restarts and set clocks: drains hold, trust is earned",
+    description="lists, evidence, restarts and clock changes: drains persist, trust needs evidence",
     covers=("recovery/trust", "recovery/reconciliation", "recovery/timestamps"),
     engine="hypothesis",
     step_size=4,
     max_size=120,
     seeds=lambda: [bytes([k, a, 40, 3] * 4) for k in range(7) for a in (0, 9)],
 )
-def beliefs(data):
-    wall, boot, since = 1.7e12, 1, 50_000.0
-    now = lambda: Timestamp(wall, f"boot-{boot}", since)  # noqa: E731
-    kept = PersistedState()
-    made, drained, last = ServerReconciler(kept, now(), COLD), {}, 0
+def server_beliefs(data):
+    wall_ms, boot_number, uptime_ms = 1.7e12, 1, 50_000.0
+    now = lambda: Timestamp(wall_ms, f"boot-{boot_number}", uptime_ms)  # noqa: E731
+    persisted = PersistedState()
+    reconciler, drained, list_version = ServerReconciler(persisted, now(), WARM_UP_MS), {}, 0
     for begin in range(0, len(data), 4):
         draw = Draw(data[begin : begin + 4])
         kind, a, b, c = draw.below(7), draw.byte(), draw.byte(), draw.byte()
         uid = f"s{a % 3}"
         if kind == 0:
-            wall, since = wall + b * 1000.0, since + b * 1000.0
+            wall_ms, uptime_ms = wall_ms + b * 1000.0, uptime_ms + b * 1000.0
         elif kind == 1:
-            wall += (b - 128) * 3_600_000.0  # somebody sets the clock
-        elif kind == 2:  # a start: of the program, or of the machine
+            wall_ms += (b - 128) * 3_600_000.0  # the wall clock is set
+        elif kind == 2:  # a restart of the process, or of the machine
             if c & 1:
-                boot, since = boot + 1, 1000.0 + b
-                wall += b * b * 1000.0
-            made = ServerReconciler(kept, now(), COLD)
-            for one in made.assessments:
+                boot_number, uptime_ms = boot_number + 1, 1000.0 + b
+                wall_ms += b * b * 1000.0
+            reconciler = ServerReconciler(persisted, now(), WARM_UP_MS)
+            for assessment in reconciler.assessments:
                 check(
-                    0.0 <= one.trust <= 1.0 and math.isfinite(one.started_ms),
-                    "a trust of",
-                    one.trust,
+                    0.0 <= assessment.trust <= 1.0 and math.isfinite(assessment.started_ms),
+                    "trust of",
+                    assessment.trust,
                 )
                 check(
-                    one.state != "ready" or one.uid not in drained,
+                    assessment.state != "ready" or assessment.uid not in drained,
                     "a drained server is ready:",
-                    one,
+                    assessment,
                 )
         elif kind == 3:
-            last += 1
+            list_version += 1
             state = ServerState.DRAINING if c & 1 else ServerState.GONE
-            made.apply_listed(
+            reconciler.apply_listed(
                 uid,
-                ServerRecord(state=state, started_ms=float(b % 3), list_version=last),
+                ServerRecord(state=state, started_ms=float(b % 3), list_version=list_version),
                 now(),
             )
             drained[uid] = b % 3
         elif kind == 4:
-            last += 1
-            told = made.apply_listed(
-                uid, ServerRecord(started_ms=float(b % 3), list_version=last), now()
+            list_version += 1
+            listed = reconciler.apply_listed(
+                uid, ServerRecord(started_ms=float(b % 3), list_version=list_version), now()
             )
-            check(told.state == "ready", "the newest list is not believed of", uid)
+            check(listed.state == "ready", "the newest list is not applied to", uid)
             drained.pop(uid, None)
         elif kind == 5:
-            one = made.apply_evidence(uid, EVIDENCE[b % 3], now())
-            check(one is None or uid not in drained, "evidence lifts a drain:", one)
-            check(one is None or 0.0 < one.trust < 1.0, "evidence makes a trust of", one)
+            assessment = reconciler.apply_evidence(uid, EVIDENCE_SOURCES[b % 3], now())
+            check(assessment is None or uid not in drained, "evidence cancels a drain:", assessment)
+            check(
+                assessment is None or 0.0 < assessment.trust < 1.0,
+                "evidence leads to a trust of",
+                assessment,
+            )
         else:
-            made.apply_unlisted(uid, now())
-            if uid in kept.tombstones:
+            reconciler.apply_unlisted(uid, now())
+            if uid in persisted.tombstones:
                 drained[uid] = 0
-        for name, row in kept.servers.items():
-            check(row.state in LISTED_STATES, name, "is", row.state)
-        check(len(kept.tombstones) <= MAX_TOMBSTONES, "tombstones without bound")
+        for name, record in persisted.servers.items():
+            check(record.state in LISTED_STATES, name, "is", record.state)
+        check(len(persisted.tombstones) <= MAX_TOMBSTONES, "too many tombstones")
         copy = PersistedState()
-        for change in changes.snapshot(kept):
+        for change in changes.snapshot(persisted):
             codec.decode(*codec.encode(change)).apply(copy)
-        check(copy == kept, "a snapshot leads elsewhere")
+        check(copy == persisted, "a snapshot decodes to another state")
 
 
 @register(
     name="operator",
-    description="the operator's file as text: read, or refused in one line with its place",
+    description="the operator's file: accepted, or rejected in one line with its position",
     max_size=300,
     covers=("settings/reader", "settings/grammar", "settings/schema", "settings/values"),
     dictionary=(
@@ -278,9 +294,9 @@
         b"[state]\nfolder /x\nagain 1d\n",
     ],
 )
-def operator(data):
+def operator_files(data):
     def load(path):
-        check(path.startswith("/"), "looked at", path)
+        check(path.startswith("/"), "a relative path is loaded:", path)
         if path != "/etc/main":
             raise reader.OperatorFileError(f"{path}: No such file or directory")
         try:
@@ -290,19 +306,19 @@
 
     try:
         file = reader.load_files("/etc/main", load)
-        made = {name: reader.resolve(file, name) for name in file.sections}
+        sections = {name: reader.resolve(file, name) for name in file.sections}
     except reader.OperatorFileError as error:
         check(
             "\n" not in str(error) and str(error).startswith("/"),
-            "not one line with its place:",
+            "not one line with its position:",
             str(error),
         )
         return
-    for name, values in made.items():
+    for name, values in sections.items():
         for key, value in values.items():
-            of = schema.keys_of(name)[key]
+            setting = schema.keys_of(name)[key]
             check(
-                not of.kind.is_number or of.minimum <= value <= of.maximum,
+                not setting.kind.is_number or setting.minimum <= value <= setting.maximum,
                 key,
                 "is",
                 value,
--- a/fuzz/targets/streams.py
+++ b/fuzz/targets/streams.py
@@ -1,5 +1,5 @@
-"""Parsers of bytes: the same messages however the bytes are cut, and the same as a plain reader
-gives."""
+"""Incremental parsers: the result must not depend on how the bytes are split, and must equal that
+of a reference parser."""
 
 from havendyke.fields import FieldError
 from havendyke.net.buffer import Buffer, BufferBudget, MessageTooLongError
@@ -11,112 +11,123 @@
 from ..draw import Draw
 from ..registry import check, register
 
-MOST, LEAST, HEADLINE = 600, 16, 200
-EVERY = 160  # bytes up to which an input is cut at every position; drawn cuts beyond
-WORK, HEADS = (
-    12,
-    64,
-)  # steps a byte, and a message or piece, that a parser may take: linear, with room
+MAX_MESSAGE_BYTES, MIN_BUFFER_BYTES, MAX_HEADER_LINE_BYTES = 600, 16, 200
+MAX_EXHAUSTIVE_BYTES = 160  # longer inputs are split at drawn positions, not at every one
+# Bounds on the work of a parser, which must be linear in the bytes, chunks and messages
+MAX_STEPS_PER_BYTE = 12
+MAX_STEPS_PER_CHUNK = 64
 
 
-class Counted(bytearray):
-    """Counts the bytes that are searched, so that work is told in steps and not in time."""
+class CountingBytes(bytearray):
+    """Counts the bytes that are searched, which measures work independently of time."""
 
-    looked = 0
+    searched_bytes = 0
 
-    def find(self, what, start=0, end=None):
-        found = bytearray.find(self, what, start, len(self) if end is None else end)
-        Counted.looked += (found if found >= 0 else len(self) if end is None else end) - start + 1
+    def find(self, needle, start=0, end=None):
+        found = bytearray.find(self, needle, start, len(self) if end is None else end)
+        CountingBytes.searched_bytes += (
+            (found if found >= 0 else len(self) if end is None else end) - start + 1
+        )
         return found
 
 
-class CountedBuffer(Buffer):
-    def __init__(self, *told):
-        super().__init__(*told)
-        self.data = Counted(self.data)
+class CountingBuffer(Buffer):
+    def __init__(self, *arguments):
+        super().__init__(*arguments)
+        self.data = CountingBytes(self.data)
 
     def _allocate(self, size):
-        Counted.looked += self.end - self.start
-        return Counted(super()._allocate(size))
+        CountingBytes.searched_bytes += self.end - self.start
+        return CountingBytes(super()._allocate(size))
 
 
-class Body:
-    """An answer as a parser of one message: its status and body once it is over."""
+class ResponseReader:
+    """Adapts the response parser to the interface of the message parsers."""
 
-    def __init__(self, buffer, most):
-        self.response, self.body = ResponseParser(buffer, HEADLINE), b""
+    def __init__(self, buffer, max_message_bytes):
+        self.response, self.body = ResponseParser(buffer, MAX_HEADER_LINE_BYTES), b""
 
     def next(self):
         while (part := self.response.next()) is not None:
             self.body += bytes(part)
         return None
 
-    def seen(self, verdict):
+    def result(self, verdict):
         verdict = "done" if self.response.done and verdict == "more" else verdict
-        begun = self.response.head_complete and (self.body or verdict == "done")
-        return (self.response.status if begun else 0, self.body), verdict
+        body_started = self.response.head_complete and (self.body or verdict == "done")
+        return (self.response.status if body_started else 0, self.body), verdict
 
 
-def read(make, data: bytes, cuts):
-    """What comes of the bytes in these pieces: what was found, and the verdict."""
-    buffer, found, verdict = CountedBuffer(LEAST, MOST, BufferBudget(1e9)), [], "more"
-    parser, fed, Counted.looked, pieces = make(buffer, MOST), 0, 0, 0
+def parse_chunks(make_parser, data: bytes, cuts):
+    """Parses the bytes in the given chunks; returns the messages and the verdict."""
+    buffer, messages, verdict = (
+        CountingBuffer(MIN_BUFFER_BYTES, MAX_MESSAGE_BYTES, BufferBudget(1e9)),
+        [],
+        "more",
+    )
+    parser, fed_bytes, CountingBytes.searched_bytes, chunks = (
+        make_parser(buffer, MAX_MESSAGE_BYTES),
+        0,
+        0,
+        0,
+    )
     try:
-        for part in [data[a:b] for a, b in zip([0, *cuts], [*cuts, len(data)])]:
-            while part:
-                room = buffer.free_space()
-                count = min(len(room), len(part))
-                room[:count] = part[:count]
+        for chunk in [data[a:b] for a, b in zip([0, *cuts], [*cuts, len(data)])]:
+            while chunk:
+                free_space = buffer.free_space()
+                count = min(len(free_space), len(chunk))
+                free_space[:count] = chunk[:count]
                 buffer.end += count
-                fed, part, pieces = fed + count, part[count:], pieces + 1
+                fed_bytes, chunk, chunks = fed_bytes + count, chunk[count:], chunks + 1
                 while (item := parser.next()) is not None:
-                    found.append(
+                    messages.append(
                         [None if i is None else bytes(i) for i in item]
                         if isinstance(item, list)
                         else bytes(item)
                     )
                 check(
-                    len(buffer.data) <= max(2 * LEAST, 2 * fed + LEAST),
+                    len(buffer.data) <= max(2 * MIN_BUFFER_BYTES, 2 * fed_bytes + MIN_BUFFER_BYTES),
                     "a buffer of",
                     len(buffer.data),
                     "bytes after",
-                    fed,
+                    fed_bytes,
                 )
     except (FieldError, MessageTooLongError):
         verdict = "bad"
-    # Bytes are copied at each growth and searched anew in the part that came: a constant for a byte
-    # in all.
+    # Growth of the buffer copies bytes and a search covers new bytes: constant work per byte in
+    # total.
     check(
-        Counted.looked <= WORK * fed + HEADS * (pieces + len(found) + 1),
+        CountingBytes.searched_bytes
+        <= MAX_STEPS_PER_BYTE * fed_bytes + MAX_STEPS_PER_CHUNK * (chunks + len(messages) + 1),
         "work of",
-        Counted.looked,
+        CountingBytes.searched_bytes,
         "steps for",
-        fed,
+        fed_bytes,
         "bytes in",
-        pieces,
-        "pieces",
+        chunks,
+        "chunks",
     )
-    return parser.seen(verdict) if isinstance(parser, Body) else (found, verdict)
+    return parser.result(verdict) if isinstance(parser, ResponseReader) else (messages, verdict)
 
 
-def same_however_cut(make, told, data: bytes, tail: bytes):
-    whole = read(make, data, [])
-    check(whole == told, "read", whole, "where a plain reader has", told)
-    if len(data) <= EVERY:
+def check_all_splits(make_parser, expected, data: bytes, cut_source: bytes):
+    uncut = parse_chunks(make_parser, data, [])
+    check(uncut == expected, "read", uncut, "instead of the reference's", expected)
+    if len(data) <= MAX_EXHAUSTIVE_BYTES:
         for cut in range(1, len(data)):
-            seen = read(make, data, [cut])
-            check(seen == whole, "cut at", cut, "gives", seen, "instead of", whole)
+            split = parse_chunks(make_parser, data, [cut])
+            check(split == uncut, "cut at", cut, "gives", split, "instead of", uncut)
         cuts = range(1, len(data))
     else:
-        draw = Draw(tail)
+        draw = Draw(cut_source)
         cuts = sorted({1 + draw.below(len(data) - 1) for _ in range(12)})
-    seen = read(make, data, cuts)
-    check(seen == whole, "cut at", list(cuts)[:20], "gives", seen, "instead of", whole)
+    split = parse_chunks(make_parser, data, cuts)
+    check(split == uncut, "cut at", list(cuts)[:20], "gives", split, "instead of", uncut)
 
 
-def begun(told):
-    """The reference's verdict as `Body.seen` puts it."""
-    status, body, verdict = told
+def reference_result(result):
+    """The result of the reference parser in the form of `ResponseReader.result`."""
+    status, body, verdict = result
     return (status if body or verdict == "done" else 0, body), verdict
 
 
@@ -145,7 +156,7 @@
 
 @register(
     name="resp",
-    description="RESP2 messages of callers",
+    description="RESP2 messages of collectors",
     seeds=lambda: RESP_SEEDS,
     covers=("net/resp", "net/buffer"),
     dictionary=(
@@ -163,7 +174,7 @@
     ),
 )
 def resp(data):
-    same_however_cut(RespParser, reference.resp(data, MOST), data, data[-12:])
+    check_all_splits(RespParser, reference.resp(data, MAX_MESSAGE_BYTES), data, data[-12:])
 
 
 LINE_SEEDS = [
@@ -179,13 +190,13 @@
 
 @register(
     name="lines",
-    description="lines of the relay and of discovery",
+    description="JSON lines of the relay and of discovery",
     seeds=lambda: LINE_SEEDS,
     covers=("net/json_lines", "net/buffer"),
     dictionary=(b"\n", b"\r\n", b"\r"),
 )
 def lines(data):
-    same_however_cut(LineParser, reference.lines(data, MOST), data, data[-12:])
+    check_all_splits(LineParser, reference.lines(data, MAX_MESSAGE_BYTES), data, data[-12:])
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -224,7 +235,7 @@
 
 @register(
     name="http",
-    description="answers of discovery and of probed servers",
+    description="HTTP responses of discovery and of health checks",
     seeds=lambda: HTTP_SEEDS,
     covers=("net/http", "net/buffer"),
     dictionary=(
@@ -245,58 +256,66 @@
     ),
 )
 def http(data):
-    same_however_cut(Body, begun(reference.response(data, HEADLINE)), data, data[-12:])
+    check_all_splits(
+        ResponseReader,
+        reference_result(reference.response(data, MAX_HEADER_LINE_BYTES)),
+        data,
+        data[-12:],
+    )
 
 
-class Script:
-    """Reads and additions in any order against a plain list of the bytes that no message has
-    taken."""
+class BufferOperations:
+    """Buffer operations in any order, compared with a plain copy of the unread bytes."""
 
     def __init__(self):
         self.budget = BufferBudget(4000)
-        self.buffer, self.bytes, self.serial = Buffer(LEAST, MOST, self.budget), b"", 0
+        self.buffer, self.expected, self.serial = (
+            Buffer(MIN_BUFFER_BYTES, MAX_MESSAGE_BYTES, self.budget),
+            b"",
+            0,
+        )
 
-    def step(self, kind, size):
-        if kind == 0:
-            room = self.buffer.free_space()
-            check(len(room) > 0, "no room without an error")
-            count = min(size, len(room))
+    def run_step(self, operation, size):
+        if operation == 0:
+            free_space = self.buffer.free_space()
+            check(len(free_space) > 0, "no free space and no error")
+            count = min(size, len(free_space))
             self.serial = (self.serial + 1) % 256
-            told = bytes([self.serial]) * count
-            room[:count] = told
+            chunk = bytes([self.serial]) * count
+            free_space[:count] = chunk
             self.buffer.end += count
-            self.bytes += told
-        elif kind == 1:
+            self.expected += chunk
+        elif operation == 1:
             count = min(size, self.buffer.end - self.buffer.start)
             self.buffer.start += count
-            self.bytes = self.bytes[count:]
-        elif kind == 2:
+            self.expected = self.expected[count:]
+        elif operation == 2:
             self.serial = (self.serial + 1) % 256
-            told = bytes([self.serial]) * size
+            chunk = bytes([self.serial]) * size
             try:
-                self.buffer.append(told)
-                self.bytes += told
+                self.buffer.append(chunk)
+                self.expected += chunk
             except MessageTooLongError:
                 return False
         else:
             self.buffer.release()
-            self.bytes = b""
-        held = bytes(self.buffer.data[self.buffer.start : self.buffer.end])
-        check(held == self.bytes, "holds", held, "instead of", self.bytes)
+            self.expected = b""
+        unread = bytes(self.buffer.data[self.buffer.start : self.buffer.end])
+        check(unread == self.expected, "holds", unread, "instead of", self.expected)
         check(
-            self.budget.left + len(self.buffer.data) - LEAST == 4000,
+            self.budget.left + len(self.buffer.data) - MIN_BUFFER_BYTES == 4000,
             "the budget is",
             self.budget.left,
             "with",
             len(self.buffer.data),
-            "held",
+            "bytes allocated",
         )
         return True
 
 
 @register(
     name="buffer",
-    description="a connection's buffer and the budget of all",
+    description="the buffer of a connection and the budget shared by all",
     covers=("net/buffer",),
     step_size=2,
     seeds=lambda: [
@@ -307,19 +326,19 @@
     ],
 )
 def buffer(data):
-    draw, script = Draw(data), Script()
+    draw, operations = Draw(data), BufferOperations()
     while not draw.exhausted:
         try:
-            if not script.step(draw.below(4), draw.byte()):
+            if not operations.run_step(draw.below(4), draw.byte()):
                 break
         except MessageTooLongError:
             check(
-                len(script.bytes) > MOST - LEAST
-                or script.budget.left < 2 * len(script.buffer.data),
+                len(operations.expected) > MAX_MESSAGE_BYTES - MIN_BUFFER_BYTES
+                or operations.budget.left < 2 * len(operations.buffer.data),
                 "too long with",
-                len(script.bytes),
-                "bytes held",
+                len(operations.expected),
+                "unread bytes",
             )
             break
-    script.buffer.release()
-    check(script.budget.left == 4000, "after the end the budget is", script.budget.left)
+    operations.buffer.release()
+    check(operations.budget.left == 4000, "after release the budget is", operations.budget.left)
--- a/fuzz/targets/values.py
+++ b/fuzz/targets/values.py
@@ -1,5 +1,4 @@
-"""Messages that parse, with fields as a drawn hand left them: nothing half-checked may reach an
-event."""
+"""Well-formed messages with drawn field values: no unvalidated value may reach an event."""
 
 import math
 import re
@@ -21,24 +20,24 @@
 from .world import PAST_ALL_DEADLINES_MS, SETTINGS, feed_checked, listed_server, make_assigner
 
 ZONES, CLASSES = SETTINGS["localities"], [c["name"] for c in SETTINGS["requestClasses"]]
-NEVER = 1e15  # ms; nothing that is meant is as far from now
+MAX_TIME_MS = 1e15  # beyond any meaningful time
 
 
-def finite(*figures, least=0.0, most=NEVER):
-    for figure in figures:
+def check_numbers(*numbers, minimum=0.0, maximum=MAX_TIME_MS):
+    for number in numbers:
         check(
-            type(figure) in (int, float) and math.isfinite(figure) and least <= figure <= most,
-            "an event says",
-            figure,
+            type(number) in (int, float) and math.isfinite(number) and minimum <= number <= maximum,
+            "an event has the value",
+            number,
         )
 
 
-def sound(event, assigner):
-    """Every figure in an event is finite and in range, and what it names is known."""
+def check_event(event, assigner):
+    """Checks that the numbers in an event are finite and in range, and its objects are known."""
     registry = assigner.registry
     match event:
         case core.ServerLoadReport():
-            finite(
+            check_numbers(
                 event.attempts,
                 event.failures,
                 event.latency_ms,
@@ -53,7 +52,7 @@
             )
             check(0 <= event.zone < len(ZONES), "zone", event.zone)
         case core.SliceLoadReport():
-            finite(event.requests, event.failures, event.window_ms)
+            check_numbers(event.requests, event.failures, event.window_ms)
             check(
                 0 <= event.request_class < len(CLASSES) and event.slice.id in registry.slices,
                 "a report",
@@ -68,7 +67,7 @@
             )
             for entry in event.entries:
                 check(entry.state in ("ready", "draining", "gone"), "state", entry.state)
-                finite(entry.size)
+                check_numbers(entry.size)
                 check(
                     entry.started_ms is None or math.isfinite(entry.started_ms),
                     "a start at",
@@ -76,36 +75,36 @@
                 )
                 check(
                     entry.started_ms is None or entry.started_ms <= assigner.event_loop.now(),
-                    "a start to come",
+                    "a start in the future",
                     entry.started_ms,
                 )
         case core.ProxyConnected():
-            finite(event.request_rate)
+            check_numbers(event.request_rate)
             check(0 <= event.zone < len(ZONES), "zone", event.zone)
         case core.PushAcknowledged():
-            finite(event.latency_ms)
-            check(0 <= event.nonce < 65536, "mark", event.nonce)
+            check_numbers(event.latency_ms)
+            check(0 <= event.nonce < 65536, "nonce", event.nonce)
         case core.SnapshotEntry():
-            finite(event.weight)
+            check_numbers(event.weight)
         case core.HealthCheckResult():
-            finite(event.latency_ms, *(v for v in astuple(event.load) if v is not None))
+            check_numbers(event.latency_ms, *(v for v in astuple(event.load) if v is not None))
 
 
-def events_of(assigner) -> list:
-    told, assigner.registry.pending_events = assigner.registry.pending_events, []
-    for event in told:
-        sound(event, assigner)
-    return told
+def pending_events_of(assigner) -> list:
+    events, assigner.registry.pending_events = assigner.registry.pending_events, []
+    for event in events:
+        check_event(event, assigner)
+    return events
 
 
-# Values of every kind: right ones, odd ones, and none. A field's draw is (kind, value).
+# Drawn field values: valid, unusual or missing. A field takes two draws: the kind and the value.
 
 
-def words(draw, right):
-    """A RESP field's text: right, odd, or left out."""
+def resp_field(draw, valid):
+    """The text of a RESP field: valid, unusual, or None for a missing field."""
     kind = draw.below(8)
     if kind < 5:
-        return draw.choice(right)
+        return draw.choice(valid)
     if kind == 5:
         return None
     return draw.choice(
@@ -137,7 +136,7 @@
     )
 
 
-GOOD = encode(
+VALID_REPORT = encode(
     "LOAD",
     "az",
     "a",
@@ -158,7 +157,7 @@
 
 @register(
     name="reports",
-    description="LOAD and SHARD of collectors, good neighbours beside them",
+    description="LOAD and SHARD messages of collectors, each followed by a valid one",
     step_size=1,
     max_size=400,
     covers=("net/wire_reports", "net/collectors", "net/resp"),
@@ -173,13 +172,13 @@
 )
 def reports(data):
     draw = Draw(data)
-    assigner, hub = make_assigner()
+    assigner, event_loop = make_assigner()
     connection = assigner.collectors.accept()
-    hub.establish(connection)
+    event_loop.establish(connection)
     feed_checked(connection, encode("SOURCE", "az", "a"))
-    events_of(assigner)
+    pending_events_of(assigner)
     while not draw.exhausted and not connection.ended:
-        shard = draw.flag()
+        is_slice_report = draw.flag()
         fields = (
             {
                 "partition": ("0", "4", "7", "8"),
@@ -188,7 +187,7 @@
                 "bad": ("0", "90"),
                 "window": ("1000.0",),
             }
-            if shard
+            if is_slice_report
             else {
                 "az": ZONES,
                 "host": ("s1", "s3", "s9"),
@@ -199,47 +198,51 @@
                 "report": ("", "inflight:7,util:0.61", "queue:nan", "x:1", "TEXT util=1, queue=2"),
             }
         )
-        made = [draw.choice(("SHARD" if shard else "LOAD",) * 6 + ("load", "ACK", ""))]
-        told = {}
-        for name, right in fields.items():
-            value = words(draw, right)
+        message = [draw.choice(("SHARD" if is_slice_report else "LOAD",) * 6 + ("load", "ACK", ""))]
+        values = {}
+        for name, valid in fields.items():
+            value = resp_field(draw, valid)
             if value is not None:
-                told[name] = value
-                made += [name, value]
-        made += [] if draw.below(8) else ["odd"]
-        feed_checked(connection, encode(*made) + GOOD)
-        came = events_of(assigner)
-        check(not connection.ended, "a spoilt report ended its collector")
+                values[name] = value
+                message += [name, value]
+        message += [] if draw.below(8) else ["odd"]
+        feed_checked(connection, encode(*message) + VALID_REPORT)
+        events = pending_events_of(assigner)
+        check(not connection.ended, "an invalid report disconnected its collector")
         check(
-            came and isinstance(came[-1], core.ServerLoadReport) and came[-1].attempts == 7,
-            "the good report behind",
-            made,
+            events and isinstance(events[-1], core.ServerLoadReport) and events[-1].attempts == 7,
+            "the valid report after",
+            message,
             "is lost",
         )
-        check(len(came) <= 2, "one message made", len(came) - 1, "events")
-        if len(came) == 2 and not shard:
+        check(len(events) <= 2, "one message caused", len(events) - 1, "events")
+        if len(events) == 2 and not is_slice_report:
             check(
-                came[0].attempts == reference.number(told["n"], 1e6),
+                events[0].attempts == reference.number(values["n"], 1e6),
                 "n is",
-                came[0].attempts,
+                events[0].attempts,
                 "of",
-                told,
+                values,
             )
-            check(came[0].latency_ms == reference.number(told.get("avg", "0"), 1e6), "avg of", told)
-        if len(came) == 2 and shard:
             check(
-                came[0].requests == reference.number(told["n"], 1e6),
+                events[0].latency_ms == reference.number(values.get("avg", "0"), 1e6),
+                "avg of",
+                values,
+            )
+        if len(events) == 2 and is_slice_report:
+            check(
+                events[0].requests == reference.number(values["n"], 1e6),
                 "n is",
-                came[0].requests,
+                events[0].requests,
                 "of",
-                told,
+                values,
             )
-    hub.run_for(10)
+    event_loop.run_for(10)
 
 
 @register(
     name="figures",
-    description="numbers and load reports as texts, against a strict reader",
+    description="numbers and load reports as texts, compared with a strict parser",
     covers=("net/wire_fields", "net/wire_reports"),
     max_size=120,
     dictionary=(b"inflight", b":", b"=", b",", b"TEXT ", b"util", b"1e", b"_", b"nan", b"inf"),
@@ -261,50 +264,50 @@
         b"1e5",
     ],
 )
-def figures(data):
-    told = str(data, "utf-8", "replace")
-    for read, right in (
-        (lambda: parse_number(told, "n", 1e6), reference.number(told, 1e6)),
+def number_texts(data):
+    text = str(data, "utf-8", "replace")
+    for parse, expected in (
+        (lambda: parse_number(text, "n", 1e6), reference.number(text, 1e6)),
         (
-            lambda: parse_count({"n": told}, "n", 10**6),
-            int(told) if re.fullmatch("[0-9]{1,15}", told) and int(told) <= 10**6 else None,
+            lambda: parse_count({"n": text}, "n", 10**6),
+            int(text) if re.fullmatch("[0-9]{1,15}", text) and int(text) <= 10**6 else None,
         ),
     ):
         try:
-            seen = read()
+            parsed = parse()
         except FieldError:
-            seen = None
-        check(seen == right, "read", told, "as", seen, "instead of", right)
+            parsed = None
+        check(parsed == expected, "read", text, "as", parsed, "instead of", expected)
     try:
-        for value in astuple(parse_server_load(told, 1e6)):
-            finite(0.0 if value is None else value, most=1e6)
+        for value in astuple(parse_server_load(text, 1e6)):
+            check_numbers(0.0 if value is None else value, maximum=1e6)
     except FieldError:
         pass
 
 
-def entry(draw) -> tuple:
-    """An entry of the list, and whether all of it is right."""
-    made = listed_server(
+def draw_entry(draw) -> tuple:
+    """A drawn entry of the endpoint list, and whether all of its fields are valid."""
+    fields = listed_server(
         draw.choice(("s1", "s2", "s3", "s4")),
         draw.choice(("in_service", "terminating", "terminated")),
         boot_ms=draw.choice((0, 0, 1000, 5999, 6000.5)),
         capacity_hint=draw.choice((0, 1.0, 2.5)),
     )
-    right = True
+    is_valid = True
     for _ in range(draw.below(3)):
-        name, value = draw.choice(tuple(made)), draw.unusual_value()
-        spoilt = draw.flag()
-        if spoilt and draw.flag():
-            made.pop(name, None)
+        name, value = draw.choice(tuple(fields)), draw.unusual_value()
+        removable = draw.flag()
+        if removable and draw.flag():
+            fields.pop(name, None)
         else:
-            made[name] = value
-        right = False
-    return made, right
+            fields[name] = value
+        is_valid = False
+    return fields, is_valid
 
 
 @register(
     name="list",
-    description="discovery's list, whole and in changes, with spoilt entries among good ones",
+    description="endpoint lists, complete and as changes, with invalid entries among valid ones",
     max_size=300,
     covers=("net/wire_endpoint_list", "net/discovery"),
     seeds=lambda: [
@@ -315,51 +318,60 @@
         bytes([2, 0, 0, 0, 0, 2, 4, 0, 9] * 4),
     ],
 )
-def entries(data):
+def endpoint_lists(data):
     draw = Draw(data)
-    assigner, hub = make_assigner()
-    spoilt = []
+    assigner, event_loop = make_assigner()
+    invalid_entries = []
     while not draw.exhausted:
-        made = [entry(draw) for _ in range(draw.below(5))]
-        told = {
+        drawn_entries = [draw_entry(draw) for _ in range(draw.below(5))]
+        message = {
             "rev": draw.choice((1, 2, 40, 2**62)),
             "all": draw.flag(),
-            "targets": [e for e, _ in made],
+            "targets": [entry for entry, _ in drawn_entries],
         }
         if draw.below(8) == 7:
-            told[draw.choice(tuple(told))] = draw.unusual_value()
+            message[draw.choice(tuple(message))] = draw.unusual_value()
         try:
-            told = orjson.loads(orjson.dumps(told))
+            message = orjson.loads(orjson.dumps(message))
         except (orjson.JSONEncodeError, TypeError):
-            continue  # no JSON reader would pass it on
-        before = len(spoilt)
+            continue  # not representable as JSON
+        count_before = len(invalid_entries)
         try:
             received = assigner.peer_codecs.endpoint_list.decode(
-                told, on_invalid_entry=spoilt.append
+                message, on_invalid_entry=invalid_entries.append
             )
         except FieldError:
             continue
         event, version = received.event, received.version
-        sound(event, assigner)
+        check_event(event, assigner)
         check(type(version) is int, "version", version)
-        named = {e.server.id for e in event.entries}
-        for told_entry, right in made if told["targets"] == [e for e, _ in made] else ():
-            check(not right or told_entry["uid"] in named, "the good entry", told_entry, "is lost")
+        listed_ids = {entry.server.id for entry in event.entries}
+        for fields, is_valid in (
+            drawn_entries if message["targets"] == [entry for entry, _ in drawn_entries] else ()
+        ):
+            check(not is_valid or fields["uid"] in listed_ids, "the valid entry", fields, "is lost")
         check(
-            len(spoilt) == before or event.scope == core.ListScope.CHANGES,
-            "a spoilt list takes others for gone",
+            len(invalid_entries) == count_before or event.scope == core.ListScope.CHANGES,
+            "a list with invalid entries counts as complete",
         )
-        # The same start is the same time, whatever the clock does meanwhile.
-        for e in {e.server: e for e in event.entries}.values():  # named twice, the last one counts
-            hub.time += 7
+        # The same start time is decoded to the same value as the clock advances.
+        # If a server is listed twice, the last entry counts.
+        for entry in {entry.server: entry for entry in event.entries}.values():
+            event_loop.time += 7
             lists = assigner.peer_codecs.endpoint_list
-            again = lists.start_ms(e.server, lists.start_times[e.server].unix_ms)
-            check(again == e.started_ms, "a start moved from", e.started_ms, "to", again)
+            start_ms = lists.start_ms(entry.server, lists.start_times[entry.server].unix_ms)
+            check(
+                start_ms == entry.started_ms,
+                "a start time changed from",
+                entry.started_ms,
+                "to",
+                start_ms,
+            )
 
 
 @register(
     name="news",
-    description="the relay's notifications with fields of every kind",
+    description="notifications of the relay with values of every kind",
     max_size=300,
     covers=("net/relay_stream", "net/relay_watch", "net/wire_relay"),
     seeds=lambda: [
@@ -370,13 +382,13 @@
         bytes([0, 1, 1, 3, 200] * 8),
     ],
 )
-def news(data):
+def watch_messages(data):
     draw = Draw(data)
-    assigner, hub = make_assigner()
+    assigner, event_loop = make_assigner()
     assigner.relay.start()
-    stream = hub.open("relay_watch")
+    stream = event_loop.open("relay_watch")
     feed_checked(stream, b'{"jsonrpc":"2.0","id":1,"result":true}\n')
-    forms = {
+    templates = {
         "SUBSCRIBE": {"sidecar": 1, "az": "a", "share": 2.5, "standing": True},
         "CLOSED": {"sidecar": 1},
         "ACK": {"sidecar": 1, "version": 7, "lag_ms": 3.5},
@@ -386,13 +398,13 @@
     }
     while not draw.exhausted:
         if stream.ended:
-            hub.run_for(600)
-            if not hub.open_connections("relay_watch"):
+            event_loop.run_for(600)
+            if not event_loop.open_connections("relay_watch"):
                 break
-            stream = hub.open("relay_watch")
+            stream = event_loop.open("relay_watch")
             feed_checked(stream, b'{"jsonrpc":"2.0","id":1,"result":true}\n')
-        kind = draw.choice(tuple(forms))
-        params = dict(forms[kind])
+        method = draw.choice(tuple(templates))
+        params = dict(templates[method])
         for name in params:
             if name in ("sidecar", "partition"):
                 params[name] = draw.below(9)
@@ -402,21 +414,21 @@
         if draw.below(9) == 8:
             params = draw.unusual_value()
         try:
-            message = {"jsonrpc": "2.0", "method": kind, "params": params}
+            message = {"jsonrpc": "2.0", "method": method, "params": params}
             if draw.below(9) == 8:
                 message[draw.choice(("method", "id", "result", "error"))] = draw.unusual_value()
-            line = orjson.dumps(message)
+            encoded = orjson.dumps(message)
         except (orjson.JSONEncodeError, TypeError):
             continue
-        feed_checked(stream, line + b"\n")
-        hub.run_for(draw.choice((0, 1, 70)))
-        events_of(assigner)
-        check(not hub.counters.get("failures"), "a failure:", hub.logged[-1:])
+        feed_checked(stream, encoded + b"\n")
+        event_loop.run_for(draw.choice((0, 1, 70)))
+        pending_events_of(assigner)
+        check(not event_loop.counters.get("failures"), "a failure:", event_loop.logged[-1:])
 
 
 @register(
     name="relay_answers",
-    description="answers to calls, with every field spoilt",
+    description="replies to relay calls with unusual values in every field",
     max_size=200,
     covers=("net/relay_client", "net/wire_relay", "net/json_lines"),
     seeds=lambda: [
@@ -428,68 +440,68 @@
 )
 def relay_answers(data):
     draw = Draw(data)
-    assigner, hub = make_assigner()
+    assigner, event_loop = make_assigner()
     relay = assigner.relay
-    serial = 0
+    server_number = 0
     while not draw.exhausted:
         if not relay.call:
-            serial += 1
+            server_number += 1
             relay.enqueue(
                 [
-                    WeightOrder(1, f"s{serial}", 1.0),
-                    AcknowledgementOrder(serial % 65536, all_proxies=False),
+                    WeightOrder(1, f"s{server_number}", 1.0),
+                    AcknowledgementOrder(server_number % 65536, all_proxies=False),
                 ]
             )
-            hub.run_for(draw.choice((0, 60, 600)))
-            for connection in hub.open_connections("relay", "relay_watch"):
-                hub.establish(connection)
-        calls = hub.open_connections("relay")
+            event_loop.run_for(draw.choice((0, 60, 600)))
+            for connection in event_loop.open_connections("relay", "relay_watch"):
+                event_loop.establish(connection)
+        calls = event_loop.open_connections("relay")
         if not relay.call or not calls:
-            hub.run_for(300)
+            event_loop.run_for(300)
             continue
         count = len(relay.call.orders)
-        form = {
+        reply = {
             "jsonrpc": "2.0",
             "id": relay.call.request_id,
             "result": {"taken": draw.below(count + 1)},
         }
         if draw.below(3) == 2:
-            form = {
+            reply = {
                 "id": relay.call.request_id,
                 "error": {"code": 1, "message": draw.choice(("BUSY", "SYNTAX", "odd"))},
             }
         for _ in range(draw.below(3)):
-            spot = draw.choice(("id", "result", "error", "taken"))
+            field = draw.choice(("id", "result", "error", "taken"))
             (
-                form.get("result")
-                if spot == "taken" and isinstance(form.get("result"), dict)
-                else form
-            )[spot] = draw.unusual_value()
+                reply.get("result")
+                if field == "taken" and isinstance(reply.get("result"), dict)
+                else reply
+            )[field] = draw.unusual_value()
         try:
-            line = orjson.dumps(form)
+            encoded = orjson.dumps(reply)
         except (orjson.JSONEncodeError, TypeError):
             continue
-        number, sent = relay.call.request_id, dict(relay.call.orders)
-        feed_checked(calls[-1], line + b"\n")
-        hub.run()
-        if relay.call and relay.call.request_id == number:
-            check(relay.call.orders == sent, "a stale answer changed the call under way")
-        elif "error" not in form and not relay.unresolved.orders:
+        request_id, orders = relay.call.request_id, dict(relay.call.orders)
+        feed_checked(calls[-1], encoded + b"\n")
+        event_loop.run()
+        if relay.call and relay.call.request_id == request_id:
+            check(relay.call.orders == orders, "a stale reply changed the call in flight")
+        elif "error" not in reply and not relay.unresolved.orders:
             check(
-                form.get("id") == number
-                and type(form["result"]["taken"]) is int
-                and 0 <= form["result"]["taken"] <= count,
-                "believed",
-                form,
+                reply.get("id") == request_id
+                and type(reply["result"]["taken"]) is int
+                and 0 <= reply["result"]["taken"] <= count,
+                "accepted",
+                reply,
             )
-        check(not hub.counters.get("failures"), "a failure:", hub.logged[-1:])
-        hub.run_for(draw.choice((0, 5, 120, 2000)))
-        events_of(assigner)
+        check(not event_loop.counters.get("failures"), "a failure:", event_loop.logged[-1:])
+        event_loop.run_for(draw.choice((0, 5, 120, 2000)))
+        pending_events_of(assigner)
 
 
 @register(
     name="probe",
-    description="a server's answers to probes, whole and broken at any byte",
+    description="replies to health checks, complete or cut at any byte",
     max_size=400,
     covers=("net/health_checks", "net/http", "net/wire_reports"),
     dictionary=(
@@ -513,27 +525,35 @@
 )
 def probe(data):
     draw = Draw(data)
-    end, assigner_hub = draw.below(6), make_assigner()
-    assigner, hub = assigner_hub
+    end, pair = draw.below(6), make_assigner()
+    assigner, event_loop = pair
     server = assigner.registry.server("s1")
-    events_of(assigner)
+    pending_events_of(assigner)
     assigner.health_checker.check(server)
-    (connection,) = hub.open_connections(HealthCheck.name)
-    hub.establish(connection)
+    (connection,) = event_loop.open_connections(HealthCheck.name)
+    event_loop.establish(connection)
     feed_checked(connection, draw.remaining_bytes())
     if end in (1, 2, 4, 5) and not connection.ended:
         connection.eof_received() if end != 4 else connection.connection_lost(
             ConnectionResetError()
         )
-    hub.run_for(PAST_ALL_DEADLINES_MS)
-    told = [e for e in events_of(assigner) if isinstance(e, core.HealthCheckResult)]
-    check(len(told) == 1 and told[0].server is server, "a probe ended", len(told), "times")
+    event_loop.run_for(PAST_ALL_DEADLINES_MS)
+    results = [
+        event for event in pending_events_of(assigner) if isinstance(event, core.HealthCheckResult)
+    ]
+    check(
+        len(results) == 1 and results[0].server is server,
+        "a health check has",
+        len(results),
+        "results",
+    )
     check(
-        told[0].outcome in tuple(core.HealthCheckOutcome)[:-1],
+        results[0].outcome in tuple(core.HealthCheckOutcome)[:-1],
         "outcome",
-        told[0].outcome,
+        results[0].outcome,
     )
     check(
-        assigner.health_checker.in_flight == 0 and not hub.open_connections(HealthCheck.name),
-        "a probe's place is not free again",
+        assigner.health_checker.in_flight == 0
+        and not event_loop.open_connections(HealthCheck.name),
+        "a finished health check is still in flight",
     )
--- a/fuzz/targets/xds.py
+++ b/fuzz/targets/xds.py
@@ -1,5 +1,5 @@
-"""xDS streams: offers, refusals, stale answers, cuts and returns in any order; a forwarder that
-checks its references."""
+"""xDS streams: updates, rejections, stale acknowledgements and reconnections in any order, with a
+client that checks references between its resources."""
 
 from havendyke.xds.resources import (
     CLUSTER,
@@ -21,40 +21,40 @@
 NAMES = "abcd"
 
 
-class Forwarder:
-    """What it holds, by type and name; it refuses bodies that end with X."""
+class XdsClient:
+    """An xDS client with its resources by type and name; it rejects bodies that end with X."""
 
     def __init__(self):
-        self.held = {kind: {} for kind in DEPENDENCY_ORDER}
+        self.resources = {kind: {} for kind in DEPENDENCY_ORDER}
 
     def apply(self, response) -> DeltaRequest:
-        if any(one.body.endswith(b"X") for one in response.resources):
+        if any(item.body.endswith(b"X") for item in response.resources):
             return DeltaRequest(response.resource_type, nonce=response.nonce, error="cannot use it")
-        for one in response.resources:
-            before = self.held[response.resource_type].get(one.name)
+        for item in response.resources:
+            previous = self.resources[response.resource_type].get(item.name)
             check(
-                before is None or before.version != one.version,
+                previous is None or previous.version != item.version,
                 response.resource_type,
-                one.name,
-                "was told again",
+                item.name,
+                "was sent again",
             )
-            self.held[response.resource_type][one.name] = one
+            self.resources[response.resource_type][item.name] = item
         for name in response.removed:
-            self.held[response.resource_type].pop(name, None)
+            self.resources[response.resource_type].pop(name, None)
         for kind in DEPENDENCY_ORDER:
-            for one in self.held[kind].values():
-                for need in one.references:
+            for item in self.resources[kind].values():
+                for dependency in item.references:
                     check(
-                        need[1] in self.held[need[0]],
+                        dependency[1] in self.resources[dependency[0]],
                         kind,
-                        one.name,
+                        item.name,
                         "points to",
-                        need,
-                        "which is not held",
+                        dependency,
+                        "which is not present",
                     )
         return DeltaRequest(response.resource_type, nonce=response.nonce)
 
-    def begin(self, stream) -> list:
+    def subscribe(self, stream) -> list:
         return [
             r
             for kind in DEPENDENCY_ORDER
@@ -62,26 +62,26 @@
                 DeltaRequest(
                     kind,
                     subscribe=("*",),
-                    initial_versions={n: one.version for n, one in self.held[kind].items()},
+                    initial_versions={n: item.version for n, item in self.resources[kind].items()},
                 )
             )
         ]
 
 
-def pair(name, body):
+def cluster_with_endpoints(name, body):
     return [
         (CLUSTER, make_resource(name, b"c" + body)),
         (ENDPOINTS, make_resource(name, b"e" + body, [(CLUSTER, name)])),
     ]
 
 
-def routes(names):
+def route_table(names):
     return ROUTES, make_resource("r", repr(names).encode(), [(CLUSTER, n) for n in names])
 
 
 @register(
     name="streams",
-    description="xDS streams with a forwarder that refuses, repeats, breaks off and comes back",
+    description="xDS streams with a client that rejects, repeats, disconnects and reconnects",
     covers=("xds/stream", "xds/resources"),
     engine="hypothesis",
     step_size=3,
@@ -93,61 +93,68 @@
     ],
 )
 def streams(data):
-    now, mark, forwarder, serial = (
-        Snapshot().with_changes(1, pair("a", b"0") + [routes(["a"])]),
+    snapshot, version, client, serial = (
+        Snapshot().with_changes(1, cluster_with_endpoints("a", b"0") + [route_table(["a"])]),
         1,
-        Forwarder(),
+        XdsClient(),
         0,
     )
-    stream = DeltaStream(now, max_response_bytes=8)
-    inbox = forwarder.begin(stream)
+    stream = DeltaStream(snapshot, max_response_bytes=8)
+    inbox = client.subscribe(stream)
     for begin in range(0, len(data), 3):
-        kind, a, b = data[begin : begin + 3].ljust(3, b"\0")
+        kind, first, second = data[begin : begin + 3].ljust(3, b"\0")
         if kind % 6 < 2:
-            mark, serial = mark + 1, serial + 1
-            names = [n for k, n in enumerate(NAMES) if a >> k & 1] or ["a"]
-            body = str(serial if b & 1 else b & 6).encode() + (b"X" if b & 24 == 24 else b"")
-            gone = [
+            version, serial = version + 1, serial + 1
+            names = [n for k, n in enumerate(NAMES) if first >> k & 1] or ["a"]
+            body = str(serial if second & 1 else second & 6).encode() + (
+                b"X" if second & 24 == 24 else b""
+            )
+            removed = [
                 n
                 for k, n in enumerate(NAMES)
-                if b >> 4 + k & 1 and n not in names and now.get(CLUSTER, n)
+                if second >> 4 + k & 1 and n not in names and snapshot.get(CLUSTER, n)
             ]
-            now = now.with_changes(
-                mark,
-                [i for n in names for i in pair(n, body)] + [routes(names)],
-                [(t, n) for n in gone for t in (ENDPOINTS, CLUSTER)],
+            snapshot = snapshot.with_changes(
+                version,
+                [i for n in names for i in cluster_with_endpoints(n, body)] + [route_table(names)],
+                [(t, n) for n in removed for t in (ENDPOINTS, CLUSTER)],
             )
-            inbox += stream.update_snapshot(now)
+            inbox += stream.update_snapshot(snapshot)
         elif kind % 6 == 2:
-            stream = DeltaStream(now, max_response_bytes=8)
-            inbox = forwarder.begin(stream)
+            stream = DeltaStream(snapshot, max_response_bytes=8)
+            inbox = client.subscribe(stream)
         elif kind % 6 == 3:
             try:
                 check(
-                    stream.handle_request(DeltaRequest(DEPENDENCY_ORDER[a % 5], nonce=f"old{b}"))
+                    stream.handle_request(
+                        DeltaRequest(DEPENDENCY_ORDER[first % 5], nonce=f"old{second}")
+                    )
                     == [],
-                    "a stale answer brought something",
+                    "a stale acknowledgement caused a response",
                 )
             except InvalidRequestError:
                 pass
         elif inbox:
-            inbox += stream.handle_request(forwarder.apply(inbox.pop(0)))
-        check(stream.unacknowledged_bytes() <= 5 * 64, "under way:", stream.unacknowledged_bytes())
-    now = now.with_changes(
-        mark + 1, [i for n in NAMES for i in pair(n, b"end")] + [routes(list(NAMES))]
+            inbox += stream.handle_request(client.apply(inbox.pop(0)))
+        check(stream.unacknowledged_bytes() <= 5 * 64, "in flight:", stream.unacknowledged_bytes())
+    snapshot = snapshot.with_changes(
+        version + 1,
+        [i for n in NAMES for i in cluster_with_endpoints(n, b"end")] + [route_table(list(NAMES))],
     )
-    inbox += stream.update_snapshot(now)
+    inbox += stream.update_snapshot(snapshot)
     for _ in range(400):
         if not inbox:
             break
-        inbox += stream.handle_request(forwarder.apply(inbox.pop(0)))
-    check(not inbox, "it never comes to rest")
+        inbox += stream.handle_request(client.apply(inbox.pop(0)))
+    check(not inbox, "the stream does not become idle")
     for kind in DEPENDENCY_ORDER:
         check(
-            {n: o.version for n, o in forwarder.held[kind].items()}
-            == {n: o.version for n, o in now.by_type[kind].items()},
+            {n: o.version for n, o in client.resources[kind].items()}
+            == {n: o.version for n, o in snapshot.by_type[kind].items()},
             kind,
-            "is held as",
-            sorted(forwarder.held[kind]),
+            "differs; present are",
+            sorted(client.resources[kind]),
         )
-    check(SnapshotAcknowledged(mark + 1) in stream.events, "the last mark is not answered")
+    check(
+        SnapshotAcknowledged(version + 1) in stream.events, "the last version is not acknowledged"
+    )
--- a/tests/fuzz/test_draw.py
+++ b/tests/fuzz/test_draw.py
@@ -25,8 +25,9 @@
 def test_changes_of_settings_do_not_modify_the_drawn_value():
     before, empty_object = copy.deepcopy(draw.UNUSUAL_VALUES), draw.UNUSUAL_VALUES.index({})
     replacement = bytes([OBLIGATIONS, REPLACE, UNUSUAL_FLAG, empty_object])
-    text, changed_paths = settings.changed(replacement + bytes([COLD, ADD_KEY, 0, 0]))
+    text, changed_paths = settings.change_config(replacement + bytes([COLD, ADD_KEY, 0, 0]))
     assert b'"obligations": {"coldx": 1}' in text and len(changed_paths) == 2
     assert (
-        before == draw.UNUSUAL_VALUES and b'"obligations": {}' in settings.changed(replacement)[0]
+        before == draw.UNUSUAL_VALUES
+        and b'"obligations": {}' in settings.change_config(replacement)[0]
     )
--- a/tests/fuzz/test_replay.py
+++ b/tests/fuzz/test_replay.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    "words, said",
+    "arguments, message",
     [
         (("run", "nosuch"), "no target is named 'nosuch'"),
         (("replay", "resp", "--file", "/nonexistent"), "cannot be read"),
@@ -40,9 +40,9 @@
         (("minimise", "resp", __file__), "not hexadecimal"),
     ],
 )
-def test_invalid_input_gives_one_line_and_status_2(words, said):
-    process = run_tool(*words)
-    assert process.returncode == 2 and said in process.stderr and process.stderr.count("\n") == 1
+def test_invalid_input_gives_one_line_and_status_2(arguments, message):
+    process = run_tool(*arguments)
+    assert process.returncode == 2 and message in process.stderr and process.stderr.count("\n") == 1
 
 
 def test_a_run_without_a_seed_prints_a_random_one(monkeypatch):
@@ -80,8 +80,8 @@
 
 def test_a_minimised_input_fails_with_the_same_signature():
     target = registry.Target("broken", "", failing_target, list, ())
-    small, tries = minimise.shrink(target, b"abc\x07defgh" * 3)
-    assert small == b"\x07" and tries < 200
+    small, attempts = minimise.shrink(target, b"abc\x07defgh" * 3)
+    assert small == b"\x07" and attempts < 200
     assert minimise.shrink(target, b"well") == (b"well", 1)
 
 
