--- a/benchmarks/_days.py
+++ b/benchmarks/_days.py
@@ -1,9 +1,9 @@
-"""Drawn days for the comparison of versions: deployments of every kind with a day of faults each,
-and days of wild events.
+"""Randomly generated days for the comparison of versions: deployments of every kind with faults,
+and days of arbitrary events.
 
-A seed is a day. The faults and the world around the controller are those of `fuzz.targets.core`,
-the proxies those of `havendyke.lab.data_plane`; nothing here judges what is ordered. What the
-bench's wire does not carry (see `_wire`) does not happen on these days."""
+A seed determines a day. The faults and the simulation around the controller are those of
+`fuzz.targets.core`, the proxies those of `havendyke.lab.data_plane`; the orders are not checked.
+Events that the bench's wire format cannot express (see `_wire`) do not occur."""
 
 import hashlib
 from collections.abc import Callable, Sequence
@@ -24,24 +24,24 @@
 from havendyke.state import LinearCongruentialGenerator
 
 DRAWN_BYTES = 4096
-LAYOUTS = ("slices", "slices", "slices", "sole owners", "no slices", "wild")  # by seed, in turn
+LAYOUTS = ("slices", "slices", "slices", "sole owners", "no slices", "wild")  # by seed modulo 6
 CONTROLLERS = (1, 1, 2, 5, 12, 60, 230)
 FIRST_MS, LAST_MS = 1500.0, 3000.0
 LEASE_MS = 1000.0
 MAX_WRITE_IN_FLIGHT_MS = 800.0
 LIST_REQUEST_DELAY_MS = 150.0
-CACHED_LIST_MS = 2000.0  # a start from a cached list gets the complete one after this
+CACHED_LIST_MS = 2000.0  # from a start with a cached list to the complete list
 
 Record = Callable[[Sequence[interface.Order]], None]
 
 
 class NoRuleChecks:
-    """Stands in for the rules that judge a fuzzed day: a recorded day is judged by nobody."""
+    """Replaces the rule checker of a fuzzed scenario, so that orders are not checked."""
 
     violations = ()
 
     def observe_list(self, *_: object) -> None:
-        """Takes no note."""
+        """Ignores the event."""
 
     set_channel_available = check = observe_list
 
@@ -49,12 +49,15 @@
 def drawn_settings(
     draw: Draw, layout: str, servers: int, proxies: int, slices: int
 ) -> interface.Settings:
-    """Settings of every kind; the channel's limits fit what must be moved at once between once and
-    four times."""
-    sole, sliced = layout == "sole owners", layout != "no slices"
+    """Draws settings of every kind.
+
+    The channel's limits are 1.2 to 4 times the load of the changes that must be pushed at once."""
+    exclusive, sliced = layout == "sole owners", layout != "no slices"
     controllers = draw.choice(CONTROLLERS)
-    head = draw.choice((6.0, 8.0, 12.0))
-    limit = draw.choice((1.2, 2.5, 4.0)) * proxies * (head + 6 + ceil(0.4 * slices) + servers / 4)
+    overhead = draw.choice((6.0, 8.0, 12.0))
+    limit = (
+        draw.choice((1.2, 2.5, 4.0)) * proxies * (overhead + 6 + ceil(0.4 * slices) + servers / 4)
+    )
     capped = draw.below(4) == 3
     classes = [
         interface.RequestClass(1000.0, 3000.0, **REQUEST_CLASS_VARIANTS[0]),
@@ -69,13 +72,13 @@
         request_classes=classes[: 1 + draw.below(4)],
         zone_count=3,
         slice_count=controllers * slices,
-        exclusive_ownership=sole,
-        lease_ms=LEASE_MS * sole,
-        max_write_in_flight_ms=MAX_WRITE_IN_FLIGHT_MS * sole,
+        exclusive_ownership=exclusive,
+        lease_ms=LEASE_MS * exclusive,
+        max_write_in_flight_ms=MAX_WRITE_IN_FLIGHT_MS * exclusive,
         max_empty_table_ms=draw.choice((0.0, 20_000.0, 5000.0)),
         channel_queue_limit=limit,
         channel_rate_per_s=limit / 1.2,
-        message_overhead=head,
+        message_overhead=overhead,
         push_delay_ms=draw.choice((100.0, 200.0, 350.0)),
         message_limit=5 if capped else 0,
         message_limit_window_ms=10_000.0 if capped else 0.0,
@@ -102,7 +105,7 @@
 
 
 def describe_settings(layout: str, settings: interface.Settings) -> str:
-    """The settings' kind in words."""
+    """A short description of the settings."""
     parts = [layout, f"controllers {settings.controller_count}", f"levels {settings.load_shedding}"]
     flags = {
         "message cap": settings.message_limit,
@@ -114,7 +117,7 @@
 
 
 class RecordedDay(Scenario):
-    """A fuzzed day with more kinds of settings, whose controller may be of any version."""
+    """A fuzzed scenario with more kinds of settings and a controller of any version."""
 
     def __init__(self, draw: Draw, seed: int, layout: str) -> None:
         """Draws the deployment."""
@@ -130,14 +133,14 @@
         self.settings = drawn_settings(
             draw, layout, self.server_count, self.proxy_count, self.slice_count
         )
-        self.kind, self.last_mark = describe_settings(layout, self.settings), 0
+        self.kind, self.last_nonce = describe_settings(layout, self.settings), 0
 
     def play(self, session: Any, record: Record) -> None:
-        """Plays the whole day; `record` gets the orders of each turn."""
+        """Plays the whole day; `record` gets the orders of each reconciliation."""
         self.record = record
         self.start(session, NoRuleChecks())
         if self.draw.below(4) == 3:
-            self.begin_with_cached_list()
+            self.start_from_cached_list()
         self.run_for(FIRST_MS)
         for _ in range(4 + self.draw.below(32)):
             step, first, second, third = (self.draw.byte() for _ in range(4))
@@ -145,13 +148,14 @@
             self.run_for(TICK_MS * (1 + (step >> 4) * 2))
         self.run_for(LAST_MS)
 
-    def begin_with_cached_list(self) -> None:
-        """Half of the servers are known from a cached list in which they are warming up; the
-        complete one comes later."""
-        old = self.endpoint_list(
+    def start_from_cached_list(self) -> None:
+        """Starts from a cached list with half of the servers, which are warming up.
+
+        The complete list follows later."""
+        cached = self.endpoint_list(
             interface.ListScope.CACHED, list(self.servers)[::2], started_ms=self.now_ms - 1000.0
         )
-        self.inbox[:2] = [old]
+        self.inbox[:2] = [cached]
         self.schedule(
             CACHED_LIST_MS,
             lambda: self.inbox.append(
@@ -162,29 +166,31 @@
     def list_entry(
         self, server: Any, state: str, started_ms: float | None
     ) -> interface.EndpointEntry:
-        """An entry of the list, with a size by its cell."""
-        made = super().list_entry(server, state, started_ms)
-        return replace(made, size=(1.0, 1.0, 0.5, 2.0)[made.cell])
+        """An entry of the endpoint list with a size that depends on the cell."""
+        entry = super().list_entry(server, state, started_ms)
+        return replace(entry, size=(1.0, 1.0, 0.5, 2.0)[entry.cell])
 
     def request_rates(self) -> dict[Any, float]:
-        """Requests a second that the proxies send to each server."""
+        """Requests per second that the proxies send to each server."""
         if self.settings.slice_count:
             return super().request_rates()
-        views, brought = self.data_plane.connected_proxies(), {}
-        each = self.utilization * SERVER_REQUESTS_PER_S * self.server_count / max(1, len(views))
+        views, rates = self.data_plane.connected_proxies(), {}
+        proxy_rate = (
+            self.utilization * SERVER_REQUESTS_PER_S * self.server_count / max(1, len(views))
+        )
         for view in views:
             for table in view.bound_tables:
-                for server, part in view.traffic_shares(table).items():
-                    brought[server] = brought.get(server, 0.0) + part * each / len(
+                for server, share in view.traffic_shares(table).items():
+                    rates[server] = rates.get(server, 0.0) + share * proxy_rate / len(
                         view.bound_tables
                     )
-        return brought
+        return rates
 
     def process_orders(self, orders: Sequence[interface.Order]) -> None:
-        """Hands on the orders of one turn and lets the world react."""
+        """Records the orders of one reconciliation and applies them to the simulation."""
         self.record(orders)
-        self.last_mark = max(
-            [self.last_mark]
+        self.last_nonce = max(
+            [self.last_nonce]
             + [order.nonce for order in orders if type(order) is interface.RequestAcknowledgement]
         )
         if any(type(order) is interface.RequestEndpointList for order in orders):
@@ -192,7 +198,7 @@
         self.apply_orders(orders)
 
     def answer_list(self) -> None:
-        """Answers the request for the endpoint list, at times with a failure."""
+        """Answers the request for the endpoint list, sometimes with a failure."""
         failed = self.draw.below(4) == 3
         self.inbox.append(
             interface.EndpointListUpdate(interface.ListScope.FAILED, [])
@@ -200,36 +206,36 @@
             else self.endpoint_list(interface.ListScope.COMPLETE, self.running_servers())
         )
 
-    # Steps that ask the controller what it holds, or need slices
+    # Steps that would read the controller's state, or that need slices
 
     def repeat_events(self, first: int, second: int, third: int) -> None:
-        """Repeats acknowledgements and failed lists."""
-        joined = [view.proxy for view in self.data_plane.connected_proxies()]
-        if joined:
+        """Sends unexpected acknowledgements and failed lists."""
+        connected = [view.proxy for view in self.data_plane.connected_proxies()]
+        if connected:
             self.inbox.append(
                 interface.PushAcknowledged(
-                    joined[first % len(joined)], (self.last_mark + second) % 65536, 1.0
+                    connected[first % len(connected)], (self.last_nonce + second) % 65536, 1.0
                 )
             )
         if third & 1:
             self.inbox.append(interface.EndpointListUpdate(interface.ListScope.FAILED, []))
 
     def unassign_slices(self, first: int, second: int, third: int) -> None:
-        """Takes slices away for a while, where there are slices."""
+        """Unassigns slices for a while if there are any."""
         if self.settings.slice_count:
             super().unassign_slices(first, second, third)
 
     def shift_demand(self, first: int, second: int, third: int) -> None:
-        """Moves demand between slices, where there are several."""
+        """Shifts demand between slices if there are several."""
         if self.settings.slice_count and self.slice_count > 1:
             super().shift_demand(first, second, third)
 
     def disconnect_channel(self, first: int, second: int, third: int) -> None:
-        """Leaves the push channel as it is: the wire has no word of its loss."""
+        """Does nothing, since the wire format cannot express the loss of the push channel."""
 
 
 class WildDay:
-    """Events and settings of any kind, one after the other, about which nothing is likely."""
+    """Arbitrary settings and a sequence of arbitrary events, without a simulation."""
 
     def __init__(self, draw: Draw, seed: int) -> None:
         """Draws the settings."""
@@ -237,16 +243,16 @@
         self.kind = describe_settings("wild", self.settings)
 
     def play(self, session: Any, record: Record) -> None:
-        """Plays the whole day; `record` gets the orders of each turn."""
-        now = 1000.0
+        """Plays the whole day; `record` gets the orders of each reconciliation."""
+        now_ms = 1000.0
         for _ in range(20 + self.draw.below(60)):
-            now += self.draw.choice((0.0, 1.0, 50.0, 250.0, 1000.0, 5000.0, 1e7))
+            now_ms += self.draw.choice((0.0, 1.0, 50.0, 250.0, 1000.0, 5000.0, 1e7))
             session.pending_events = [
-                arbitrary_event(self.draw, session, now) for _ in range(1 + self.draw.below(6))
+                arbitrary_event(self.draw, session, now_ms) for _ in range(1 + self.draw.below(6))
             ]
             if self.draw.flag():
                 session.pending_events.append(interface.TimerFired(0))
-            record(session.reconcile(now))
+            record(session.reconcile(now_ms))
 
 
 def day_of(seed: int) -> Any:
--- a/benchmarks/_exchange_script.py
+++ b/benchmarks/_exchange_script.py
@@ -250,8 +250,8 @@
 
     async def send_unknown_command(self) -> None:
         """A client sends a command that the collectors' protocol does not have."""
-        stranger = await self._connect("stranger")
-        stranger.send(resp_command("WHO"))
+        client = await self._connect("stranger")
+        client.send(resp_command("WHO"))
 
     async def replace_proxy(self) -> None:
         """A proxy connects and another one disconnects."""
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -98,10 +98,8 @@
         0.0,
         dict.fromkeys(LOAD_LEVELS, 0.0),
     )
-    recent_loads, recent_limits = (
-        [],
-        [],
-    )  # each server's load and its limit over the last 1.5 s, the window of the overload rule
+    # Each server's load and its limit over the last 1.5 s, the window of the overload rule.
+    recent_loads, recent_limits = ([], [])
     while simulation.event_loop.time - started_ms < 20_000.0:
         simulation.run_for(50)
         elapsed_ms = simulation.event_loop.time - started_ms
