--- a/havendyke/bench_adapter/batches.py
+++ b/havendyke/bench_adapter/batches.py
@@ -70,7 +70,7 @@
     def _receive(
         self, message: Message, to_reconcile: dict[int, ControllerInstance], outbox: list[Message]
     ) -> None:
-        """Starts, ends or notifies an instance; adds to `to_reconcile` one that must reconcile."""
+        """Starts or ends an instance, or queues its event; keeps `to_reconcile` up to date."""
         kind, instance_id = read_field(message, "kind", str), read_field(message, "assignerId", int)
         if kind == START_KIND:
             self._start(instance_id, message, to_reconcile, outbox)
@@ -94,7 +94,7 @@
             )
         except FieldError:
             raise
-        # As in `reconcile`: a controller that fails to start must not end the others.
+        # Reported as in `reconcile`: a controller that fails to start must not end the others.
         except Exception as error:
             outbox.append(failure_message(instance_id, error))
 
--- a/havendyke/interface/settings.py
+++ b/havendyke/interface/settings.py
@@ -77,7 +77,7 @@
     report_interval_ms: float = 1000.0
     warm_up_ms: float = 0.0  # time until a started server has its full capacity
     initial_capacity_share: float = 1.0  # share at the start of warm-up
-    # A server that is warming up fails above this multiple of its usual load times its progress.
+    # While warming up, a server fails above this multiple of its usual load, times its progress.
     warm_up_overload_factor: float = UNLIMITED
     list_on_request: bool = False  # discovery sends the endpoint list only when requested
     list_request_timeout_ms: float = 0.0  # failed requests are retried well within it
--- a/havendyke/policy/admission.py
+++ b/havendyke/policy/admission.py
@@ -50,7 +50,7 @@
             return False
         self._next_adjustment_ms = now_ms + ADJUST_INTERVAL_MS
         previous_limit = self.limit
-        # Failures without high latency are refused connections, which load shedding does not free.
+        # Failures without high latency are refused connections; load shedding frees no connection.
         saturated = condition.overloaded and condition.congested
         if saturated and counts.error_rate_exceeds(SHEDDING_ERROR_RATE):
             self._shed(counts)
--- a/havendyke/policy/controller.py
+++ b/havendyke/policy/controller.py
@@ -155,7 +155,8 @@
         self.plan_tables()
         orders = self.emit_push()
         if orders:
-            # Ticks alone would delay the next push; a drain's grace period is only a few pushes.
+            # Ticks alone would delay the next push, and a drain's grace period is only a few push
+            # intervals.
             orders.append(StartTimer(PUSH_TIMER_ID, self.pushes.interval_ms))
         return orders + self.request_observations()
 
--- a/havendyke/policy/ejection.py
+++ b/havendyke/policy/ejection.py
@@ -14,8 +14,8 @@
 # After this time an unavailable server is ejected even if slices have no other usable endpoint: the
 # order needs the rest of a drain's grace period to reach all proxies.
 MAX_REPLACEMENT_WAIT_MS = 750.0
-# If tables may stay empty only for less, ejections always wait: a slice without an endpoint might
-# not get one in time.
+# If `Settings.max_empty_table_ms` is shorter, an ejection always waits until all slices have
+# another usable endpoint: a slice without one might not get it in time.
 MIN_EMPTY_TABLE_MS = 2_000.0
 # A usable server stays ejected while, unejected, it would get at least this share of a slice that
 # has another primary.
@@ -42,9 +42,10 @@
     ) -> list[SetEjection]:
         """Returns orders that begin or end ejections, servers in the worst health first.
 
-        `confirm`: also repeats orders that some proxies may not have received. The caller sets it
-        after new orders have been added. Only orders for servers in published tables are repeated,
-        since many proxies may have connected at once.
+        With `confirm`, orders that some proxies may not have received are repeated as well. The
+        caller sets it once the most urgent orders have been added. Only orders for servers in
+        published tables are repeated: many proxies may have connected at once, which leaves few
+        entries for each.
         """
         if not self._enabled:
             return []
@@ -65,12 +66,14 @@
 
     def _should_be_ejected(self, server: Server, slices: Sequence[Slice], now_ms: float) -> bool:
         if server.health <= UNHEALTHY:
-            # Waits until each slice has another usable endpoint, or requests would find none.
+            # Waits until each slice has another usable endpoint; otherwise its requests would find
+            # none.
             return server.ejected or (
                 bool(slices)
                 and (self._must_not_wait(server, now_ms) or all(map(has_usable_endpoint, slices)))
             )
-        # Once unejected, a server that warms up would get all of its former traffic at once.
+        # Lasts until the server is the primary of each slice or would get only a small share of it:
+        # a server that warms up cannot take all of its former traffic at once.
         return server.ejected and not all(
             slice_.primary() is server or slice_.share_if_unejected(server) < MAX_UNEJECTED_SHARE
             for slice_ in slices
--- a/havendyke/policy/fleet_condition.py
+++ b/havendyke/policy/fleet_condition.py
@@ -30,7 +30,8 @@
     collapsed: bool = False  # congested, and many attempts fail
     errors_elevated: bool = False  # over all attempts at all servers
     connections_exhausted: bool = False  # a burst would use all connections of a server
-    # Share of requests. An increase takes effect one adjustment late, once its load is reported.
+    # Share of requests that proxies admit. An increase counts from the next adjustment on, when its
+    # load has been reported.
     admitted_share: float = 1.0
     completed_share: float = 1.0  # of all attempts that ended
     median_in_flight: float = 0.0  # over servers, as a position of the in-flight histograms
@@ -81,6 +82,7 @@
         condition.completed_share = 1.0 - all_failed / max(1.0, attempts)
 
     def _median_latency(self, servers: Iterable[Server]) -> float:
+        # Without a success at any ready server, the fleet counts as congested.
         latencies = [
             server.latency.median() or 0.0 for server in servers if server.attempt_outcomes.bins[0]
         ]
--- a/havendyke/policy/health_checks.py
+++ b/havendyke/policy/health_checks.py
@@ -6,7 +6,7 @@
 from .tick import TICK_INTERVAL_MS
 
 MIN_CHECK_INTERVAL_MS = 500.0
-# Checks of one server by all controllers whose tables contain it, together.
+# Checks of one server, summed over all controllers whose tables contain it.
 CHECKS_PER_SERVER_PER_S = 5.0
 # While a check is pending, the next one waits for at least this many minimum intervals.
 PENDING_INTERVALS = 4
@@ -32,8 +32,8 @@
         if not self._enabled:
             return []
         # A server is the primary of some controllers' slices, and a standby for about as many
-        # other controllers. These share the rate; the remaining controllers together at most
-        # double it.
+        # other controllers. All of these share the rate. The remaining controllers share the same
+        # rate once more, so that the total is at most twice as high.
         user_count = float(self._controller_count)
         if self._has_slices:
             user_count = min(self._controller_count, 2.0 * self._pace.controllers_per_server)
--- a/havendyke/policy/migration.py
+++ b/havendyke/policy/migration.py
@@ -6,7 +6,7 @@
 # A snapshot may have rounded a weight to about 0; a primary needs one above this.
 MIN_WEIGHT = 1e-6
 PRIMARY_WEIGHT = 1.0
-# Migrations; the planner replaces it before it first limits any.
+# In migrations. The planner replaces it before it limits a migration.
 INITIAL_BUDGET = 9.0
 
 
--- a/havendyke/policy/outlier_detection.py
+++ b/havendyke/policy/outlier_detection.py
@@ -19,7 +19,8 @@
 SATURATED_CHECK_FACTOR = 5
 # A success counts as recent for this many report intervals.
 RECENT_SUCCESS_INTERVALS = 1.6
-# Successes overdue at the server's previous rate; fewer may be missing by chance.
+# Successes that must be overdue, at the server's previous rate, to tell it from a saturated one;
+# fewer may be missing by chance.
 MIN_MISSED_SUCCESSES = 2.0
 OUTLIER_ERROR_RATE = 0.3
 MIN_ATTEMPTS = 6.0
@@ -108,7 +109,8 @@
 
     def _has_own_failures(self, server: Server, now_ms: float) -> bool:
         # A saturated server fails too, but with high latency; its slices would overload the next
-        # server. So does one without free connections; its slices would exhaust the next one's.
+        # server. A server without free connections also fails, and its slices would exhaust the
+        # connections of the next one. In a lost zone, a slow server does not count as saturated.
         condition = self._fleet.condition
         zone_lost_now = server.zone_lost_ms == now_ms
         saturated = self._fleet.is_slow(server) and not zone_lost_now
--- a/havendyke/policy/pacing.py
+++ b/havendyke/policy/pacing.py
@@ -20,7 +20,7 @@
         self.controllers_per_server = 1.0
 
     def update(self, proxies: Iterable[Proxy], ready_server_count: int) -> None:
-        """Updates both from the acknowledgements and the size of the fleet."""
+        """Updates the settled pushes by acknowledgements, and the controllers per server."""
         self._settled_serial = serial_acknowledged_by(proxies, SETTLED_TRAFFIC_SHARE)
         slices_per_server = self._slice_count / max(ready_server_count, 1)
         self.controllers_per_server = min(self._controller_count, max(1.0, slices_per_server))
--- a/havendyke/policy/push_scheduler.py
+++ b/havendyke/policy/push_scheduler.py
@@ -178,7 +178,7 @@
                 orders += self._shared_tables.bindings(proxy)
 
     def _lacks_acknowledgement(self, observed: ObservedState, connected: Sequence[Proxy]) -> bool:
-        """Whether a proxy has yet to acknowledge the last push, and no push requested it from it.
+        """Whether a connected proxy has not acknowledged the last push, and no request is pending.
 
         A reconnected proxy has the published tables, but only its acknowledgement confirms that;
         without one, its slices would never count as settled.
--- a/havendyke/policy/rebalancer.py
+++ b/havendyke/policy/rebalancer.py
@@ -12,8 +12,8 @@
 from .outlier_detection import RECENT_SUCCESS_INTERVALS
 from .pacing import PUSH_INTERVAL_MS, MigrationPace
 
-# Between migrations with the same source or target, so that load reports show the effect of the
-# first one.
+# Shortest time between migrations with the same source or target, so that load reports show the
+# effect of the first one.
 SERVER_MIGRATION_INTERVAL_MS = 5_000.0
 SLICE_MIGRATION_INTERVAL_MS = 8_000.0
 # Consecutive report intervals in which a server must be overloaded to become a source.
@@ -21,7 +21,7 @@
 OVERLOADED_UTILIZATION = 1.5  # fair shares
 # Latencies as multiples of the fleet's median.
 OVERLOADED_RELATIVE_LATENCY = 1.6
-AVERAGE_RELATIVE_LATENCY = 0.9
+AVERAGE_RELATIVE_LATENCY = 0.9  # above it, high utilization counts as overload
 UNDERLOADED_RELATIVE_LATENCY = 1.1
 # All controllers rank targets alike. To spread their choices, each draws among the best targets,
 # this many for each controller.
--- a/havendyke/policy/server_capacity.py
+++ b/havendyke/policy/server_capacity.py
@@ -54,8 +54,9 @@
         server.relative_latency = latency
         bounded = max(self._min_latency_ratio, min(self._max_latency_ratio, latency))
         server.capacity = server.size * progress / bounded
-        # Low latency does not raise it: a server that warms up beside a congested fleet seems fast.
-        # A server that is slow, by the median or by the objectives, is close to overload.
+        # Low latency does not raise the guaranteed capacity: a server that warms up beside a
+        # congested fleet seems fast. A server that is slow, by the median or by the objectives, is
+        # close to overload.
         reduction = max(1.0, min(MAX_GUARANTEE_REDUCTION, max(latency, slowness)))
         server.guaranteed_capacity = server.size * progress / reduction
 
--- a/havendyke/policy/slow_start.py
+++ b/havendyke/policy/slow_start.py
@@ -13,7 +13,7 @@
 CAUTIOUS_OVERLOAD_SHARE = 0.4
 # After its own start, the controller knows neither the demand nor the fleet's condition.
 CAUTIOUS_START_MS = 12_000.0
-# Upper bound of the setting, which is a multiple of a server's normal load.
+# Upper bound of `Settings.warm_up_overload_factor`, a multiple of a server's usual load.
 MAX_OVERLOAD_FACTOR = 3.0
 MIN_FLEET_CAPACITY = 1e-6  # avoids a division by 0 if the fleet is empty
 
@@ -37,8 +37,8 @@
         controller_age_ms: float,
     ) -> None:
         """Updates the load limit for the fleet, demand and condition of this reconciliation."""
-        # By the fleet's peak capacity: with many servers lost, an equal share of the demand would
-        # overload a server that warms up.
+        # The demand is divided by the fleet's peak capacity: while many servers are lost, a share
+        # by the present capacity would overload a server that warms up.
         self.fleet_capacity.observe(ready_servers)
         cautious = (
             condition.overloaded or condition.collapsed or controller_age_ms < CAUTIOUS_START_MS
--- a/havendyke/policy/table_diff.py
+++ b/havendyke/policy/table_diff.py
@@ -103,8 +103,8 @@
 
     def change(self, slice_: Slice, now_ms: float) -> TableChange:
         """Returns the next change of the slice's table, without orders if none is possible yet."""
-        # A push may process a slice twice. An exclusive owner that it has just published must not
-        # be cleared the second time.
+        # A push may process a slice twice. With exclusive ownership, a primary that it has just
+        # published must not be cleared the second time.
         if slice_.desired == slice_.published:
             return TableChange([], slice_.published)
         if self._exclusive and slice_.published:
@@ -125,9 +125,9 @@
         return TableChange(orders, table)
 
     def _is_released(self, slice_: Slice, now_ms: float) -> bool:
-        """Whether no write to the former owner can be in flight any more.
+        """Whether no write to the former primary can be in flight any more.
 
-        Each proxy with the former owner's entry must have acknowledged the push that removed it,
+        Each proxy with the former primary's entry must have acknowledged the push that removed it,
         or its lease must have ended. After that, the longest possible write must have ended too.
         """
         push = slice_.clearing_push
@@ -145,8 +145,8 @@
     # Standby entries are deferred while the slice must leave an unusable server, or has no usable
     # endpoint and lacks its primary's entry: with many slices at once, they would delay an ejection
     # beyond the drain's grace period. If the primary's entry is published but ejected, they are
-    # not: the standby alone serves the slice until the ejection ends, which may take longer than a
-    # table may stay empty.
+    # not deferred: the standby alone serves the slice until the ejection ends, which may take
+    # longer than a table may stay empty.
     must_leave = any(s.health <= UNHEALTHY and not s.ejected for s in published)
     lacks_primary = primary is not None and published.get(primary) != slice_.desired[primary]
     no_endpoint = all(server.ejected for server in published)
@@ -171,6 +171,7 @@
     primary = slice_.primary()
     primary_weight = slice_.desired[primary] if primary else 0.0
     standby_weight = STANDBY_WEIGHT * primary_weight
+    # An unusable server that is ejected gets no traffic, and a former standby little.
     return {
         server: weight
         for server, weight in slice_.published.items()
--- a/havendyke/registry.py
+++ b/havendyke/registry.py
@@ -1,4 +1,4 @@
-"""Maps ids from the wire to the controller's objects; code behind it never looks up an id."""
+"""Maps ids from the wire to the controller's objects; the controller never looks up an id."""
 
 from collections.abc import Callable, Hashable
 from typing import TypeVar
--- a/havendyke/state/histogram.py
+++ b/havendyke/state/histogram.py
@@ -9,7 +9,7 @@
 
 BINS_PER_DOUBLING = 3
 SHORTEST_LATENCY_MS = 8.0
-# Halving clears a bin with no more than this, so that the median of an unused server lapses.
+# Halving clears a bin with no more than this, so that an unused server loses its old median.
 NEGLIGIBLE_COUNT = 0.1
 
 Value = TypeVar("Value", float, float | None)
--- a/havendyke/state/observed.py
+++ b/havendyke/state/observed.py
@@ -62,7 +62,7 @@
         # Since the last adjustment of the admission limit.
         self.attempt_outcomes = DecayingHistogram(2)  # bins: succeeded, failed
         self.offered_requests = 0.0
-        # An event requires a reconciliation before the next tick.
+        # Whether an event requires a reconciliation before the next tick.
         self.reconciliation_due = True
         self._proxies_reconnected = False
 
@@ -118,7 +118,7 @@
         self.offered_requests = 0.0
 
     def mark_ejections_unconfirmed(self) -> None:
-        """Marks past and present ejections to be sent again if proxies have reconnected.
+        """If proxies have connected, marks all past and present ejections to be sent again.
 
         Called once per reconciliation, since the whole fleet may reconnect during one.
         """
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("failing_count, lowered", [(1, False), (2, False), (3, True)])
 def test_few_failing_servers_do_not_lower_the_admission_probability(failing_count, lowered):
-    # Requests to all servers would be rejected because of a few overloaded ones.
+    # A lower probability would reject requests to all servers because of a few overloaded ones.
     harness = ControllerHarness()
     servers = harness.add_servers(5)
     (slice_,) = harness.add_slices(servers[:1])
--- a/tests/policy/test_exclusive_ownership.py
+++ b/tests/policy/test_exclusive_ownership.py
@@ -53,7 +53,7 @@
 def handover_ms(harness, following, limit_ms=20_000.0, between=lambda: None):
     """Returns the time until the next primary is published, or None if it exceeds the limit.
 
-    `between` is called between attempts.
+    `between` is called after each attempt that does not publish it.
     """
     start_ms = harness.now_ms
     while harness.now_ms - start_ms <= limit_ms:
--- a/tests/policy/test_push_scheduler.py
+++ b/tests/policy/test_push_scheduler.py
@@ -152,8 +152,8 @@
     harness = ControllerHarness(**settings)
     _, _, ejected, draining = harness.add_servers(4)
     without_endpoint = harness.add_slices([ejected] * count)
-    for ident in (count, count + 1):
-        slice_ = harness.add_slice(ident)
+    for slice_id in (count, count + 1):
+        slice_ = harness.add_slice(slice_id)
         harness.assign(slice_)
         harness.restore_entry(slice_, draining)
     harness.connect_proxies(2)
@@ -220,11 +220,11 @@
         for k, server in enumerate(endpoints)
     ]
     events = [core.EndpointListUpdate(core.ListScope.COMPLETE, entries)]
-    for ident in range(slices):
-        slice_ = harness.add_slice(ident)
+    for slice_id in range(slices):
+        slice_ = harness.add_slice(slice_id)
         events += [
             core.SliceAssignment(slice_, True),
-            core.SnapshotEntry(slice_, endpoints[ident % servers], 1.0),
+            core.SnapshotEntry(slice_, endpoints[slice_id % servers], 1.0),
         ]
     return events + [
         core.ProxyConnected(harness.add_proxy(k), k % 3, 1.0, True) for k in range(proxies)
--- a/tests/policy/test_rebalancer.py
+++ b/tests/policy/test_rebalancer.py
@@ -118,8 +118,8 @@
 def test_a_server_releases_slices_only_if_it_is_slow_by_the_latency_objectives(
     latency_ms, migrations
 ):
-    # For a while a migration occupies connections at both source and target; among fast servers it
-    # exhausts them for no gain.
+    # For a while a migration occupies connections at both source and target; among fast servers,
+    # migrations would exhaust the connections for no gain.
     harness = ControllerHarness(
         slice_count=160,
         connection_capacity=119.0,
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -236,8 +236,8 @@
 def test_the_baseline_load_is_scaled_by_what_an_overloaded_fleet_completes(
     sizes_stated, shedding, reduced
 ):
-    # With a demand of twice the fleet's capacity, a fair share of it put 6 times its capacity on a
-    # small server.
+    # With a demand of twice the fleet's capacity, the fair share of a small server was 6 times the
+    # load that it could carry.
     harness = ControllerHarness(sizes_stated=sizes_stated, load_shedding=shedding)
     servers = harness.add_servers(4)
     slices = harness.add_slices(servers)
