--- a/havendyke/policy/slow_start.py
+++ b/havendyke/policy/slow_start.py
@@ -7,8 +7,8 @@
 from ..state.fleet_capacity import FleetCapacity
 from .fleet_condition import FleetCondition
 
-# Shares of the load at which a server that warms up fails. The second applies during overload and
-# after the controller's start.
+# A server that warms up may carry this share of the load at which it would fail; the second, during
+# overload and after the controller's start.
 OVERLOAD_SHARE = 0.75
 CAUTIOUS_OVERLOAD_SHARE = 0.4
 # After its own start, the controller knows neither the demand nor the fleet's condition.
--- a/havendyke/policy/zone_loss.py
+++ b/havendyke/policy/zone_loss.py
@@ -48,7 +48,7 @@
         overloaded: bool,
         now_ms: float,
     ) -> None:
-        """Marks the ready servers of lost zones, unless they are more than half of all."""
+        """Marks ready servers of lost zones, unless those hold more than half of the candidates."""
         # Servers known to be warming up need no mark; an unknown zone cannot be lost.
         candidates = [
             server
--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -408,15 +408,15 @@
         return self.controller.planner.pace.controllers_per_server
 
     def set_list_received(self, received: bool) -> None:
-        """Whether an endpoint list other than a cached one was received."""
+        """Sets whether an endpoint list other than a cached one was received."""
         self.controller.observed.endpoint_list_received = received
 
     def set_fleet_last_success(self, time_ms: float) -> None:
-        """When an attempt at any server was last reported successful."""
+        """Sets when an attempt at any server was last reported successful."""
         self.controller.observed.last_success_ms = time_ms
 
     def set_last_disconnect(self, time_ms: float) -> None:
-        """When a proxy last disconnected."""
+        """Sets when a proxy last disconnected."""
         self.controller.observed.last_disconnect_ms = time_ms
 
     def assume_demand_reported(self) -> None:
@@ -508,11 +508,11 @@
         return server.assigned_slices
 
     def set_relative_latency(self, server: Server, ratio: float) -> None:
-        """Its latency relative to the fleet's median."""
+        """Sets its latency relative to the fleet's median."""
         server.relative_latency = ratio
 
     def set_overloaded_reports(self, server: Server, count: int) -> None:
-        """The number of consecutive report intervals in which it was overloaded."""
+        """Sets the number of consecutive report intervals in which it was overloaded."""
         server.overloaded_intervals = count
 
     def keep_overloaded_reports(self) -> None:
@@ -526,7 +526,7 @@
         server.last_slice_released_ms = time_ms
 
     def set_migration_budget(self, slices: float) -> None:
-        """The number of optional migrations in the next push."""
+        """Sets how many migrations beyond failover the next push may contain."""
         self.controller.planner.migrator.budget = slices
 
     def set_ejected(self, *servers: Server) -> None:
@@ -592,7 +592,7 @@
         return self.controller.planner.pace.is_settled(slice_)
 
     def set_last_push(self, slice_: Slice, serial: int | None) -> None:
-        """The serial of the push that last changed its table; None: a change is pending."""
+        """Sets the serial of the push that last changed its table; None: a change is pending."""
         slice_.last_push_serial = serial
 
     def clearing_push_is_unacknowledged(self, slice_: Slice) -> bool:
