--- a/havendyke/config/limits.py
+++ b/havendyke/config/limits.py
@@ -46,14 +46,14 @@
     # Outgoing connections and clients.
 
     connect_timeout_ms: float = 250.0
-    # Time for a client to name its zone. With all slots taken, the oldest unidentified client is
-    # closed at once.
+    # Time for a client to name its zone. A new client beyond `max_clients` closes the unidentified
+    # one that was silent for longest at once.
     identify_timeout_ms: float = 1500.0
     # One message of a client that has not named its zone.
     max_unidentified_message_bytes: int = 1 << 12
     # Initial buffer of a client's connection.
     initial_client_buffer_bytes: int = 1 << 12
-    # Time for which the peer may go on sending after our last message to it.
+    # Time for which a closing connection lingers, so that the peer can read our last message.
     linger_ms: float = 200.0
     # Connections that linger at a time; beyond that, connections are aborted.
     max_lingering_connections: int = 32
@@ -73,7 +73,8 @@
     max_call_bytes: int = 59_000
     # Time to wait for the reply to a call; the relay replies within 50 ms or never.
     call_timeout_ms: float = 100.0
-    # Time after which an idle connection is closed, before the relay closes it during a call.
+    # Time after which an idle connection is closed. The relay closes it later, and the outcome of a
+    # call that crosses this would be unknown.
     call_idle_timeout_ms: float = 1500.0
     # First backoff while the relay is unavailable or rejects calls.
     min_relay_backoff_ms: float = 50.0
@@ -91,9 +92,10 @@
     relay_watch_silence_timeout_ms: float = 2300.0
     # Silence after which a watch no longer proves that another one lost nothing: one missed ping.
     relay_watch_overdue_ms: float = 1300.0
-    # Time for which a slice's watch events wait for its entries, and orders for connecting proxies.
+    # Time without a further message after which received tables count as complete, and without a
+    # new proxy after which the channel is available again.
     relay_settle_ms: float = 60.0
-    # Longest time for which orders wait for connecting proxies.
+    # Longest time for which an unavailable channel waits until no more proxies connect.
     max_proxy_connect_wait_ms: float = 1500.0
 
     # Discovery.
@@ -104,14 +106,14 @@
     discovery_silence_timeout_ms: float = 2600.0
     # Delay before a failed request is retried.
     discovery_retry_ms: float = 300.0
-    # Time between checks of the complete list: half of the time after which all entries expire.
+    # Time between checks of the endpoint list: half of the time after which all entries expire.
     discovery_check_interval_ms: float = 3000.0
     # Budget for complete lists. Where one at each check would exceed it, checks request the changes
     # since the known version instead.
     discovery_bytes_per_s: float = 13_000.0
     # Time in which the watches must bring an update that a check by version brought first.
     discovery_settle_ms: float = 100.0
-    # Time for which streams at an old address continue after the first one at the new address.
+    # Time for which connections at an old address stay open once one at the new address works.
     address_overlap_ms: float = 500.0
 
     # Health checks.
@@ -153,7 +155,7 @@
 
 
 def read_limits(raw: object, settings: Mapping[str, Any]) -> Limits:
-    """The limits that result from the configuration's section `limits` and from its settings."""
+    """The limits by the configuration's section `limits` and its settings; raises `FieldError`."""
     sockets = read_integer(raw, "sockets", Limits.sockets, Limits.min_sockets, MAX_SOCKETS)
     memory_mb = float(read_number(raw, "memory_mb", Limits.memory_mb, MIN_MEMORY_MB, MAX_MEMORY_MB))
     reserved_sockets = min(Limits.reserved_sockets, sockets // MAX_RESERVED_SOCKETS_DIVISOR)
--- a/havendyke/net/assigner.py
+++ b/havendyke/net/assigner.py
@@ -35,7 +35,7 @@
 RECONCILE_TIMER_ID = 0
 # Lower than any version of the endpoint list: there is no list, or a cached one may be outdated.
 UNKNOWN_VERSION = -1
-# Fields that a reload cannot change; a changed one is logged until the next start.
+# Fields that a reload cannot change; each reload logs those that differ since the start.
 FIXED_AT_START = ("name", "listen", "settings", "wire_names", "limits")
 
 
--- a/havendyke/net/connection.py
+++ b/havendyke/net/connection.py
@@ -40,8 +40,8 @@
     IDLE = "idle"
     MOVED = "moved"  # the peer has a new address
     SILENT = "silent"
-    DONE = "done"
-    OVERDUE = "overdue"
+    DONE = "done"  # the snapshot is complete
+    OVERDUE = "overdue"  # may have missed what a lost stream carried
 
 
 class ConnectionState(Enum):
--- a/havendyke/net/event_loop.py
+++ b/havendyke/net/event_loop.py
@@ -105,7 +105,10 @@
         return connection
 
     def new_connection(self, peer: Peer, timeout_ms: float | None = None) -> Connection | None:
-        """Creates a connection that must be established in time; None if no slot is free."""
+        """Creates a connection; None if no slot is free.
+
+        It is closed if it is not established in time, by default within `connect_timeout_ms`.
+        """
         connection = Connection(self, peer)
         if not self._assign_slot(connection):
             return None
--- a/havendyke/net/fleet_summary.py
+++ b/havendyke/net/fleet_summary.py
@@ -18,7 +18,8 @@
     "load_shed",
 )
 
-# Caps the logged admission limit (a probability or requests per second), far larger when unlimited.
+# Caps the logged admission limit (a probability or requests per second), which is far larger if
+# nothing is limited.
 MAX_LOGGED_LIMIT = 9.0
 MAX_LOGGED_AGE_MS = 1e6
 
--- a/havendyke/net/generations.py
+++ b/havendyke/net/generations.py
@@ -11,7 +11,7 @@
 
 
 def next_present(generation: int) -> int:
-    """The generation after an arrival; one that was still present has missed a departure."""
+    """The generation after an arrival; if it was still present, a missed departure counts too."""
     return generation + (2 if is_present(generation) else 1)
 
 
--- a/havendyke/net/health_checks.py
+++ b/havendyke/net/health_checks.py
@@ -108,8 +108,8 @@
 class HealthChecker:
     """Runs the checks that the controller orders, with limited concurrency.
 
-    Further checks are queued. A skipped check would stay without a result until the controller
-    orders the next one of its server.
+    Further checks are queued: if they were skipped, their servers would have no result until the
+    controller orders the next check.
     """
 
     def __init__(
--- a/havendyke/net/peer_codecs.py
+++ b/havendyke/net/peer_codecs.py
@@ -10,7 +10,7 @@
 
 
 class PeerCodecs:
-    """Maps the peers' messages to events and orders, with one registry and one configuration.
+    """Decodes messages to events and encodes orders, with one registry and one configuration.
 
     Requests and framing belong to the modules that own the connections.
     """
--- a/havendyke/net/relay_client.py
+++ b/havendyke/net/relay_client.py
@@ -122,7 +122,7 @@
         self.send_next()
 
     def report_diverging_tables(self) -> None:
-        """Reports the published tables that differ from the controller's with no order as a reason.
+        """Reports the published tables that differ from the controller's with no order pending.
 
         Called after a failed reconciliation, whose orders were lost.
         """
--- a/havendyke/net/relay_stream.py
+++ b/havendyke/net/relay_stream.py
@@ -1,7 +1,7 @@
 """One watch stream of the relay as a state machine: the present state first, then changes.
 
 The relay marks neither the end of the present state nor the end of a slice's table. They count as
-complete once no further message has arrived for `limits.news_settle`.
+complete once no further message has arrived for `limits.relay_settle_ms`.
 """
 
 from enum import Enum, auto
--- a/havendyke/net/resp.py
+++ b/havendyke/net/resp.py
@@ -89,7 +89,7 @@
         size = self._length(digits) if part_type == BULK_STRING else -1
         if self._offset + max(size, 0) + 2 > self.max_message_bytes:
             raise MessageTooLongError(f"a message is longer than {self.max_message_bytes} bytes")
-        # A part of another type invalidates only its message, as its end is known.
+        # A part of another type invalidates only its message, as the part's end is known.
         if part_type == ARRAY:
             self._parts_left += self._array_size(digits)
         if size < 0:
--- a/havendyke/net/slice_assignments.py
+++ b/havendyke/net/slice_assignments.py
@@ -113,8 +113,9 @@
     def verify(self, slice_id: int) -> None:
         """Compares a slice's table with snapshots, until none was overtaken by a call.
 
-        The reported table may be older than a call that was in flight, or may have been left alone
-        because of a call that was never carried out. One snapshot is requested at a time.
+        The reported table may be older than a call that was in flight. Or it may be outdated: a
+        different table was ignored because of a call that was then never carried out. One snapshot
+        is requested at a time.
         """
         self._unverified[slice_id] = None
         if not self._verifying:
--- a/havendyke/net/wire_endpoint_list.py
+++ b/havendyke/net/wire_endpoint_list.py
@@ -38,7 +38,7 @@
 
 
 class StartTime(NamedTuple):
-    """When a server started: as discovery states it, and in the time of the local clock."""
+    """When a server started: as discovery states it, and by the event loop's clock."""
 
     unix_ms: float
     clock_ms: float | None  # None: long ago
@@ -72,7 +72,7 @@
         wall_offset_ms: Callable[[], float],
         now_ms: Callable[[], float],
     ) -> None:
-        """`wall_offset_ms()`: the offset that converts Unix milliseconds to the clock."""
+        """`wall_offset_ms()`: what is added to Unix time (ms) to get the event loop's time."""
         self._registry = registry
         self._max_size = config.limits.max_reported_value
         self.wall_offset_ms = wall_offset_ms
@@ -127,12 +127,12 @@
             self.start_times.pop(server, None)
 
     def clock_ms(self, unix_ms: float) -> float | None:
-        """Converts a start time to the clock, never to the future; None for 0 (long ago)."""
+        """A start time by the event loop's clock, never in the future; None for 0 (long ago)."""
         # The server runs, so a start time in the future results from clock skew.
         return min(unix_ms + self.wall_offset_ms(), self._now_ms()) if unix_ms else None
 
     def start_ms(self, server: Server, unix_ms: float) -> float | None:
-        """A server's start time by the clock, constant while the list states the same time.
+        """A server's start time by the event loop's clock, constant as long as the list's is.
 
         A new conversion would change with a step of the system clock and look like a restart.
         """
--- a/havendyke/net/wire_relay.py
+++ b/havendyke/net/wire_relay.py
@@ -197,7 +197,7 @@
     def subscription(self, params: dict[str, Any]) -> Subscription:
         """What a proxy states when it connects; an unknown zone is treated as the first."""
         zone_name: str = read_field(params, "az", str)
-        request_rate = self._weight(params, DEFAULT_REQUEST_RATE)
+        request_rate = self._read_share(params, DEFAULT_REQUEST_RATE)
         return Subscription(
             self._zones.get(zone_name, 0), request_rate, read_flag(params, "standing", False)
         )
@@ -219,14 +219,14 @@
     def table_entry(self, params: dict[str, Any]) -> TableEntry:
         """An entry of a slice's table."""
         server_id: str = read_field(params, "host", str)
-        return TableEntry(server_id, self._weight(params))
+        return TableEntry(server_id, self._read_share(params))
 
-    def _weight(self, params: dict[str, Any], default: Any = ...) -> float:
-        weight: float = read_number(params, "share", default, 0.0, self._limits.max_reported_value)
-        return weight
+    def _read_share(self, params: dict[str, Any], default: Any = ...) -> float:
+        share: float = read_number(params, "share", default, 0.0, self._limits.max_reported_value)
+        return share
 
     def relay_order(self, order: core.Order) -> RelayOrder | None:
-        """The controller's order with ids, or None where it is not for the relay."""
+        """The controller's order with ids for objects, or None where it is not for the relay."""
         match order:
             case core.SetEndpointWeight():
                 return WeightOrder(order.slice.id, order.server.id, order.weight)
--- a/tests/net/test_health_checks.py
+++ b/tests/net/test_health_checks.py
@@ -10,7 +10,7 @@
     event_loop.run_for(600)
 
 
-CALL_OUTCOMES = {
+CHECK_OUTCOMES = {
     "refused": (core.HealthCheckOutcome.REFUSED, lambda c, event_loop: c.close("refused")),
     "unreachable": (core.HealthCheckOutcome.REFUSED, lambda c, event_loop: c.close("timeout")),
     "reset": (
@@ -50,13 +50,13 @@
 }
 
 
-@pytest.mark.parametrize("case", CALL_OUTCOMES)
+@pytest.mark.parametrize("case", CHECK_OUTCOMES)
 def test_each_way_a_health_check_ends_has_its_outcome(case):
     assigner, event_loop = make_assigner()
     take_pending_events(suspend_reconciliation(assigner))
     assigner.health_checker.check(assigner.registry.servers["s1"])
     connection = event_loop.open("health_checks", establish=False)
-    outcome, act = CALL_OUTCOMES[case]
+    outcome, act = CHECK_OUTCOMES[case]
     act(connection, event_loop)
     (event,) = take_pending_events(assigner)
     assert (event.outcome, connection.ended, assigner.health_checker.in_flight) == (
--- a/tests/net/test_relay_client.py
+++ b/tests/net/test_relay_client.py
@@ -146,7 +146,7 @@
 
 
 def test_a_single_unreadable_weight_does_not_count_as_published():
-    # The controller kept an entry for good that no proxy had.
+    # Otherwise the controller would keep an entry that no proxy has.
     assigner, event_loop = make_assigner()
     open_watch_stream(suspend_reconciliation(assigner), event_loop, SLICE_ASSIGNED, TABLE_ENTRY)
     take_pending_events(assigner)
