--- a/havendyke/net/discovery.py
+++ b/havendyke/net/discovery.py
@@ -123,9 +123,11 @@
         self.event_loop.after(self.event_loop.limits.discovery_check_interval_ms, self.check)
 
     def check_complete_list(self) -> None:
-        """Requests the complete list, unless a request is pending.
+        """Requests the complete list, unless a request is pending or scheduled.
 
-        While a watch is established, a list with a lower version is late and reveals no restart.
+        A list with a lower version is ignored as late, whether or not a watch is established. It
+        reveals a restart only if `_request_list_after` is called while this request is pending, as
+        it is when the last established watch ends.
         """
         if not self._list_requested():
             self._open_query(follow=False, may_reveal_restart=False)
--- a/havendyke/net/relay_client.py
+++ b/havendyke/net/relay_client.py
@@ -197,7 +197,9 @@
         if connection is not self.connection:
             return
         self.connection = self._parser = None
-        # Left running, it would close the next connection while that is being established.
+        # Left running, this timer would do no harm: `close_idle` ignores a connection that is not
+        # established, and `opened` restarts or cancels the timer. The deadline for a reply would
+        # close the next connection, even while that is being established; `_end_call` cancels it.
         self._idle_timer.cancel()
         if self.call:
             self._outcome_unknown(self.call, reason)
--- a/havendyke/net/relay_stream.py
+++ b/havendyke/net/relay_stream.py
@@ -250,8 +250,11 @@
     def _reopen_table(self, slice_id: int, known: Table) -> None:
         """Reopens the known table for late entries, as if the slice were assigned anew with it."""
         self._partial_tables[slice_id] = dict(known)
-        # `assigned_ms` is not updated: late entries do not show what a call has changed since.
+        # Extends the window for further late entries. `assigned_ms` stays the time of the
+        # assignment, by which `RelayWatch` selects the tables to verify when it loses this stream.
         self._late_entry_ms[slice_id] = self._event_loop.now()
+        # Late entries do not show what a call has changed since the assignment. With a new
+        # generation, the table is reported once complete, and verified by a snapshot.
         self.slices[slice_id] = next_present(self.slices[slice_id])
 
     def _restart_completion_timer(self) -> None:
--- a/havendyke/net/unresolved_call.py
+++ b/havendyke/net/unresolved_call.py
@@ -1,7 +1,10 @@
 """Finds out whether a call without a valid reply was carried out.
 
-The relay carries out a call completely or not at all. Retrying it blindly could overfill the
-push channel; dropping it could leave tables without its orders for good.
+Such a call is assumed to be carried out completely or not at all. That the relay carried out only
+its first orders (`CallApplied`) is known from a valid reply alone, and calls with a valid reply are
+not followed here. Unless the call is found to be carried out, its orders that were not dropped
+meanwhile are queued again. Retrying a call blindly could overfill the push channel; dropping it
+could leave tables without its orders for good.
 """
 
 from collections import deque
--- a/tests/cli/test_events.py
+++ b/tests/cli/test_events.py
@@ -10,7 +10,12 @@
 
 
 def logged_events():
-    """Yields (event, fields) of every logging call in the source."""
+    """Yields (event, fields) of the logging calls in the source, except in `lab`.
+
+    Calls of any function or method named `log` or `told` count as logging calls. The event is the
+    first argument: a string literal, or either literal of a conditional expression. Calls with any
+    other first argument are left out. The fields are the names of the keyword arguments.
+    """
     for path in (ROOT / "havendyke").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             name = getattr(node, "func", None) and getattr(
