--- a/havendyke/lab/cold_start.py
+++ b/havendyke/lab/cold_start.py
@@ -1,16 +1,16 @@
-"""The rule on cold servers as a load budget for every window, over the load from any number of
+"""The cold start rule as a load budget for each window, over the load from any number of
 controllers.
 
 A cold server that is sent more than `warm_up_overload_factor` times its present capacity over a
-window of `overload_window_ms` fails. All load counts for that. Whether the rule is broken is
-another question: only where enough of the load in that window came from proxies that must have
-known of the server's start."""
+window of `overload_window_ms` fails, whichever proxies send the load. The rule is broken only if at
+least `MIN_AWARE_SHARE` of that load came from proxies that must have known of the server's start.
+"""
 
 from collections import deque
 from dataclasses import dataclass
 
-MIN_AWARE_SHARE = 2.0 / 3.0  # of the load in a window; from here on the rule is broken
-MIN_WINDOW_COVERAGE = 0.9  # samples come in steps and seldom cover a window exactly
+MIN_AWARE_SHARE = 2.0 / 3.0  # of a window's load; at this share or above, the rule is broken
+MIN_WINDOW_COVERAGE = 0.9  # of the window, which samples seldom cover exactly
 
 
 @dataclass(slots=True)
@@ -56,8 +56,10 @@
 
 
 class ColdStartBudget:
-    """`warm_capacity`: requests per second that a warm server of size 1 can serve;
-    `overload_window_ms` and `load_tolerance` are those of the rules' bounds."""
+    """Compares the load of each cold server in a sliding window with the most that it can serve.
+
+    `warm_capacity`: requests per second that a warm server of size 1 can serve;
+    `overload_window_ms` and `load_tolerance` are those of `rules.Bounds`."""
 
     def __init__(
         self, settings, overload_window_ms: float, load_tolerance: float, warm_capacity: float
@@ -81,10 +83,10 @@
     def add_sample(
         self, now: float, elapsed: float, server, started: float, size: float, load: SentLoad
     ) -> OverloadFailure | None:
-        """Counts the load of the last `elapsed` ms.
+        """Counts the load of the last `elapsed` ms; returns the failure that it causes, if any.
 
-        A new window begins after a failure, so that one that breaks no rule does not excuse what
-        follows."""
+        A new window begins after a failure, so that a failure that does not break the rule does not
+        excuse a later one."""
         age = now - started
         if not 0 <= age < self.settings.warm_up_ms:
             self.forget(server)
--- a/havendyke/lab/controllers.py
+++ b/havendyke/lab/controllers.py
@@ -72,12 +72,12 @@
         self.inbox.append(event)
 
     def assign_slice(self, number: int, table: dict):
-        """Assigns a slice to it; `table`: weights in the store by server name."""
+        """Assigns a slice to the controller; `table`: its weights in the store by server name."""
         weights = {self.registry.server(name): weight for name, weight in table.items()}
         self.inbox += self.plane.assign_slice(self.registry.slice(number), weights)
 
     def unassign_slice(self, number: int) -> dict:
-        """Takes a slice from it; returns its table in the store, weights by server name."""
+        """Takes a slice from the controller; returns its weights in the store by server name."""
         slice_ = self.registry.slice(number)
         self.inbox.append(self.plane.unassign_slice(slice_))
         return {server.id: weight for server, weight in self.plane.store[slice_].items()}
@@ -93,7 +93,9 @@
         return writers
 
     def reconcile(self, now: float) -> list:
-        """Reconciles and carries out the orders, which it returns; does nothing without events."""
+        """Reconciles, carries out the orders and returns them.
+
+        Does nothing before the first reconciliation is due, or without events and due timers."""
         if now < self.first_reconciliation_at:
             return []
         fired = sorted(timer for timer in self.timers if timer[0] <= now)
@@ -122,7 +124,7 @@
         return orders
 
     def advance(self, now: float):
-        """Advances its data plane and takes the acknowledgements."""
+        """Advances the data plane; adds its acknowledgements to the pending events."""
         acknowledgements = self.plane.advance(now)
         self.max_acknowledgement_ms = max(
             [self.max_acknowledgement_ms]
@@ -254,7 +256,7 @@
     def lose_controller(self, lost: Replica):
         """A controller is lost; the others get its slices in turn, all at once.
 
-        Its proxies use its last tables for their lease."""
+        Its proxies go on using its last tables until their lease ends."""
         numbers = [slice_.id for slice_ in lost.plane.assigned_slices]
         others = [replica for replica in self.running() if replica is not lost]
         for k, number in enumerate(numbers):
@@ -326,7 +328,7 @@
         return self.warm_capacity * server.size * min(1.0, capacity_share)
 
     def check_cold_start(self, server: SimulatedServer, load: SentLoad):
-        """Stops a cold server that its load of the last window overloads."""
+        """Counts a server's load; stops it if it is cold and overloaded over the last window."""
         if not server.up or server.started is None:
             self.budget.forget(server.name)
             return
--- a/havendyke/lab/data_plane.py
+++ b/havendyke/lab/data_plane.py
@@ -26,7 +26,7 @@
     bound_tables: dict = field(
         default_factory=dict
     )  # request classes by table; only in deployments without slices
-    read_at: float = -1e9  # when it has read the store
+    read_at: float = -1e9  # end of the read of the store that begins with the connection
     last_message_ordered_at: float = -1e9  # when the last message that it received was ordered
     connected_at: float = -1e9
     disconnected_at: float = -1e9
@@ -99,8 +99,8 @@
         """Ends the proxy's stream; messages to it that are queued or in flight are lost."""
         state = self.proxy_state(proxy)
         state.connected = False
-        # A proxy that has not read the store since its last lease ended writes nothing and gets no
-        # new lease.
+        # A new lease begins only if the proxy has read the store since it connected. Otherwise, the
+        # lease of an earlier disconnection runs on, if there is one.
         if state.read_at <= self.now:
             state.disconnected_at = self.now
         state.stream += 1
--- a/havendyke/lab/disk.py
+++ b/havendyke/lab/disk.py
@@ -12,7 +12,7 @@
 from ..recovery.directory import StateDirectory
 from ..recovery.state import PersistedState
 
-MAX_WRITE_BYTES = 4096  # a longer write is a short write
+MAX_WRITE_BYTES = 4096  # a longer write is cut to this size
 LOCK_HANDLE = "lock"
 
 
--- a/havendyke/lab/host.py
+++ b/havendyke/lab/host.py
@@ -12,8 +12,9 @@
 class AssignerHost:
     """A host that starts an assigner again and again with one state directory.
 
-    `raw`: the platform's configuration. `entries`: discovery's list by uid; each slice starts with
-    one server, in turn. `wall`: the host's clock (Unix ms); `since`: ms since its boot."""
+    `raw`: the platform's configuration. `entries`: discovery's list by uid; in the store, each
+    slice starts with one of these servers, in turn. `wall`: the host's clock (Unix ms); `since`: ms
+    since its boot."""
 
     def __init__(self, raw: dict, entries: dict):
         self.raw = raw
@@ -23,10 +24,11 @@
         self.since = 5000.0
 
     def start(self, disk=None, discovery=True, proxies=range(6), persist=True, **entries):
-        """Starts the assigner; the store and discovery's list are as the last run left them.
+        """Starts the assigner and returns the simulation.
 
-        `entries`: changes of the list. `discovery`: whether it is up. `persist`: whether the
-        assigner has a state directory."""
+        The store and discovery's list are as the last run left them. `entries`: changes of the
+        list. `discovery`: whether it is up. `persist`: whether the assigner has a state directory.
+        """
         self.storage.crash("all")
         self.entries |= entries
 
--- a/havendyke/lab/peers.py
+++ b/havendyke/lab/peers.py
@@ -1,8 +1,8 @@
-"""The platform's side of the protocol in simulated time, with the failures that it documents.
+"""The assigner's peers in simulated time, with the failures that the platform documents.
 
-The relay with its store, discovery, collectors and servers. A `Simulation` connects them to one
-real assigner. It advances the clock from event to event, so that a simulated minute costs only what
-happens in it."""
+The peers are the relay with its store, discovery, collectors and servers. A `Simulation` connects
+them to one real assigner and advances the clock from event to event, so that a simulated minute
+costs only what happens in it."""
 
 import orjson
 
@@ -118,7 +118,7 @@
     """The store and the proxies' streams.
 
     `store`: by slice, {host: share}. `call_outcome`: how the next calls end. `ejected`: by proxy,
-    the servers that it was told to leave out; one that is disconnected misses orders and keeps its
+    the servers that orders have ejected there; a disconnected proxy misses orders and keeps its
     state."""
 
     def __init__(self, simulation, store: dict, proxies):
--- a/havendyke/lab/rules.py
+++ b/havendyke/lab/rules.py
@@ -4,15 +4,15 @@
 `observe_orders`) and examines a `DataPlane` as time advances (`check`); each failure of a rule is
 one `Violation`. It keeps its own account of the fleet and reads no state of the controller.
 
-1. empty table: a connected proxy has an entry to send to in the table of each assigned slice, while
-   a warm server is listed as ready;
+1. empty table: a connected proxy has an entry to send to in the table of each assigned slice, as
+   long as a warm server is listed as ready;
 2. duplicate: no order allows a retry of a request class that might take effect twice; with
    exclusive ownership, no two servers get writes of one slice at a time;
 3. drain: a server that is listed as draining or gone gets nothing from connected proxies after the
    grace period;
-4. cold start: the proxies together never send a cold server the multiple of its capacity that
-   overloads it, over a window in which two thirds of the load are from proxies that must know of
-   its start (`cold_start.ColdStartBudget`);
+4. cold start: the proxies together do not overload a cold server over a window in which two thirds
+   or more of its load come from proxies that must know of its start
+   (`cold_start.ColdStartBudget`);
 5. channel: no more table entries are queued than the limit, and no proxy gets more messages than
    its limit.
 """
@@ -119,7 +119,9 @@
             self.unavailable_at[server] = self.now
 
     def set_channel_available(self, now, available: bool):
-        """Time limits are suspended while orders cannot leave."""
+        """Sets whether orders can reach the proxies.
+
+        While they cannot, the time limits of rules 1 and 3 are suspended."""
         self.now = now
         if not available:
             self.channel_lost_at = now if self.channel_lost_at is None else self.channel_lost_at
@@ -182,7 +184,8 @@
             for s, listed in self.state.items()
         )
         for state in states:
-            # A proxy that connects after its lease writes nothing until it has read the store.
+            # A proxy that connects after its lease has ended writes nothing until it has read the
+            # store.
             writes = now >= state.read_at or now - state.disconnected_at < self.settings.lease_ms
             for slice_, since in slices.items():
                 shares = state.traffic_shares(slice_)
@@ -196,7 +199,7 @@
                         rate, self.knows_start(state, server, started.get(server))
                     )
         if self.settings.exclusive_ownership:
-            # A proxy that has lost its stream writes on for its lease.
+            # A proxy that has lost its stream goes on writing until its lease ends.
             for state in [
                 s
                 for s in plane.proxies.values()
--- a/havendyke/lab/scale/fit.py
+++ b/havendyke/lab/scale/fit.py
@@ -24,7 +24,7 @@
     "inverse": lambda x: 1.0 / numpy.maximum(x, 0.1),
 }
 MIN_POINTS = 4  # sizes on an axis; no curve is fitted to fewer
-REFERENCE_LOOP_MS = 0.51  # in the fastest record; processor times are scaled to this speed
+REFERENCE_LOOP_MS = 0.51  # of the fastest record; processor times are scaled to this speed
 RESAMPLES, RESAMPLING_SEED = 400, 20261202
 INTERVAL_PERCENTILES = (2.5, 97.5)  # of the resampled slopes
 ENTRIES_PER_TABLE = 2  # a primary and a standby
@@ -37,8 +37,8 @@
     "messages": 1.0,
 }  # 1 % of an assigner's budget; smaller errors of a prediction are ignored
 
-# Derived axes: quantities that drive a mechanism but are no axis of their own. They follow from the
-# rules of the program, and a curve along one replaces those along the axes that it is derived from.
+# Derived axes: quantities that drive a cost but are no field of `Size`. They are computed from its
+# axes by the rules of the program, and a curve along one replaces those along these axes.
 # Health checks per second: CHECKS_PER_SERVER_PER_S is shared among the assigners that send them.
 HEALTH_CHECK_RATE = "questions a second"
 RACK_TASKS_IN_TABLES = "own tasks released"  # of a rack, that are in one assigner's tables
@@ -255,6 +255,7 @@
 
 
 def best_model(candidates: list, pairs: list) -> Model:
+    """The model with the smallest sum of relative errors; `pairs` has (size, measured value)."""
     return min(
         candidates,
         key=lambda m: sum(abs(m.predict(size) - value) / max(value, 1e-9) for size, value in pairs),
@@ -262,6 +263,7 @@
 
 
 def negligible_error(metric: str) -> float:
+    """The error of a prediction that is ignored, in the unit of the metric."""
     unit = next((u for u in NEGLIGIBLE if u in metric.split("/")), "messages")
     return NEGLIGIBLE[unit]
 
--- a/havendyke/lab/scale/fleet.py
+++ b/havendyke/lab/scale/fleet.py
@@ -118,8 +118,10 @@
         return SERVICE_TIME_MS / (1.0 - min(MAX_UTILIZATION, self.utilization(name)))
 
     def set_offered_load(self, own: Counter):
-        """Sets the load of each task to that of the assigners that run, `own`, and an even share of
-        the load of those that do not run."""
+        """Sets the load of each task.
+
+        It is the load from the assigners that run, `own`. The load from those that do not run is
+        spread evenly over the warm tasks in service."""
         others = (
             self.requests_per_slice() * self.size.slices * (self.size.assigners - self.size.hollow)
         )
--- a/havendyke/lab/scale/hollow.py
+++ b/havendyke/lab/scale/hollow.py
@@ -140,7 +140,8 @@
     def send_reports(self):
         """Sends the next `size.reports` messages of all collectors, spread over a window.
 
-        If the collectors would send more messages than that, each window has a part of them."""
+        If the collectors have more messages than that, each window continues where the last one
+        stopped."""
         size, messages, sent = self.fleet.size, self.report_messages(), {}
         for _ in range(size.reports):
             self.next_report = (self.next_report + 1) % len(messages)
--- a/havendyke/lab/scale/meter.py
+++ b/havendyke/lab/scale/meter.py
@@ -34,7 +34,9 @@
 
 
 class Meter:
-    """Sums of one assigner. Activities nest; the time of an inner one is not added to the outer."""
+    """The traffic and the processor time of one assigner.
+
+    Activities nest; the time of an inner one is not added to the outer one."""
 
     def __init__(self):
         self.byte_counts, self.message_counts = Counter(), Counter()
--- a/havendyke/lab/scale/record.py
+++ b/havendyke/lab/scale/record.py
@@ -41,7 +41,7 @@
 
 
 def source_version() -> dict:
-    """The commit, and a digest of the measured files, which other changes leave as it is."""
+    """The commit, and a digest of the measured files, which no other file affects."""
     digest = hashlib.blake2b(digest_size=8)
     for pattern in MEASURED_FILES:
         for path in sorted(PACKAGE_ROOT.glob(pattern)):
--- a/havendyke/lab/scale/roles.py
+++ b/havendyke/lab/scale/roles.py
@@ -116,7 +116,9 @@
 
 
 class Capacity:
-    """Predicts loads at any size from the models of an assigner and the CPU ratio of real ones."""
+    """Predicts loads at any size from the models of a hollow assigner.
+
+    Processor times are scaled by the ratio of real to hollow assigners."""
 
     def __init__(self, models: dict, records: list):
         self.models, self.records = models, records
@@ -209,7 +211,9 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A possible improvement: the metrics that it would reduce, and their budget."""
+    """A possible improvement: the metrics that it would reduce, and their budget.
+
+    `harm`: what the present cost leads to; `mechanism`: what the improvement would do."""
 
     name: str
     phase: str
--- a/havendyke/lab/scale/scenario.py
+++ b/havendyke/lab/scale/scenario.py
@@ -10,7 +10,7 @@
 
 STEP_MS = 250.0  # step of the fleet model; assigners run their deadlines within it
 SECOND_MS = 1000.0  # between reports, and between exchanges of the load of tasks
-RACK_TASKS = 40  # at most a fifth of all tasks
+RACK_TASKS = 40  # restarted by a release; at most a fifth of all tasks
 RACK_DRAIN_MS = 7_000.0  # over which the drains of a rack are spread
 REGION_ZONE_SHARE = 3 / 7  # of the zones
 
--- a/havendyke/lab/scale/workers.py
+++ b/havendyke/lab/scale/workers.py
@@ -58,7 +58,9 @@
             self.pipes.append(parent_end)
 
     def gather(self) -> list:
-        """Returns the measurements of each worker and the memory (MB) per assigner of it."""
+        """Returns (measurements by phase, MB of memory per assigner) for each worker.
+
+        Raises `WorkerError` if a worker ends early, and `LimitExceededError`."""
         try:
             while True:
                 messages = [self.receive(pipe) for pipe in self.pipes]
--- a/havendyke/lab/server_load.py
+++ b/havendyke/lab/server_load.py
@@ -9,11 +9,11 @@
 CONGESTED_FROM, FAILS_FROM = (
     0.6,
     1.2,
-)  # utilization from which on latency grows, and requests fail
+)  # utilization above which latency grows, and above which requests fail
 LATENCY_SLOPE, MAX_FAILED_SHARE = (
     6.0,
     0.9,
-)  # of the service time, for each unit of utilization beyond; of the requests
+)  # in service times per unit of utilization above CONGESTED_FROM; of the requests
 
 
 @dataclass(slots=True)
@@ -35,9 +35,9 @@
 class Sampling:
     """How load reports sample the proxies' requests.
 
-    Each controller gets a report of each server and slice once in `period_ms`, of one of `zones` in
-    turn. It covers the requests of this zone's proxies over `span_ms` and arrives after
-    `delay_ms`."""
+    Each controller gets a report of each server and slice once in `period_ms`. A report covers the
+    requests of one zone's proxies over `span_ms` and arrives after `delay_ms`. `zones`: the number
+    of zones; a server's reports cover them in turn."""
 
     period_ms: float = 1000.0
     span_ms: float = 1000.0
@@ -80,7 +80,7 @@
     def report(
         self, now: float, server, zone: int, sampling: Sampling
     ) -> core.ServerLoadReport | None:
-        """The report of one zone; None where it sent no requests."""
+        """The report of one zone's proxies; None if they sent no requests."""
         recent = [sample for sample in self.samples if sample.at > now - sampling.span_ms]
         attempts = round(sum(sample.attempts for sample in recent) / sampling.zones)
         failures = min(attempts, round(sum(sample.failures for sample in recent) / sampling.zones))
--- a/havendyke/recovery/state.py
+++ b/havendyke/recovery/state.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tombstone:
-    """Marks a server as draining or gone up to a start; outlives the server's record."""
+    """Marks all starts of a server up to `started_ms` as draining or gone; outlives its record."""
 
     started_ms: float  # Unix time of the latest start that it applies to; 0: long ago
     state: ServerState
--- a/havendyke/xds/proxy_streams.py
+++ b/havendyke/xds/proxy_streams.py
@@ -153,8 +153,9 @@
                 self.counts["refused"] += 1
                 stream.rejections = [*stream.rejections, event][-self.options.max_kept_rejections :]
                 if event.resource_type == ENDPOINTS and set(event.names) & self.tables.ejected:
-                    # The proxy keeps sending to an ejected server, and only a disconnect stops it:
-                    # it reconnects for the current state or leaves this controller.
+                    # The proxy rejected the draining state of an ejected server and keeps sending
+                    # to it. Only a disconnect stops that: the proxy reconnects for the current
+                    # state or leaves this controller.
                     self.counts["drains_refused"] += 1
                     to_close.append((key, "refused a drain"))
         return to_close
@@ -194,7 +195,8 @@
     def _stalled_streams(self, now_ms: float) -> list[tuple[Hashable, str]]:
         """Returns the streams whose oldest response in flight is past the timeout.
 
-        What waits for a stream is bounded by one response for each type; this bounds the time.
+        One response in flight for each type bounds the data of a stalled stream; this timeout
+        bounds how long the stream stays open.
         """
         stalled = [
             key
--- a/havendyke/xds/server.py
+++ b/havendyke/xds/server.py
@@ -57,12 +57,12 @@
         return time.monotonic() * 1000
 
     def add_event(self, event: core.Event) -> None:
-        """Adds an event from another source, as an endpoint list or a load report."""
+        """Adds an event from another source, such as an endpoint list or a load report."""
         self.proxy_streams.registry.pending_events.append(event)
         self.schedule_reconciliation()
 
     def schedule_reconciliation(self) -> None:
-        """Reconciles at the next iteration of the event loop, once however often it is called."""
+        """Schedules a reconciliation on the event loop, unless one is scheduled already."""
         if not self.reconciliation_scheduled:
             self.reconciliation_scheduled = True
             asyncio.get_running_loop().call_soon(self._reconcile)
--- a/havendyke/xds/sotw.py
+++ b/havendyke/xds/sotw.py
@@ -1,8 +1,8 @@
 """The state of the world variant of a stream, on top of the incremental state machine.
 
-Order, collecting of changes and rejections are those of the incremental variant. Each response has
-all resources of its type that the proxy shall hold. This module keeps what the proxy last accepted,
-so that a response differs from it by what the incremental variant would send.
+The order of responses, the collecting of changes and the handling of rejections are those of the
+incremental variant. Each response has all resources of its type that the proxy is to hold: those
+that it last accepted, which this module keeps, with the changes of the incremental response.
 """
 
 from collections.abc import Mapping
@@ -61,7 +61,7 @@
     """One resource type on one stream."""
 
     accepted: dict[str, Resource] = field(default_factory=dict)  # by name
-    offered: dict[str, Resource] = field(default_factory=dict)  # once the response is accepted
+    offered: dict[str, Resource] = field(default_factory=dict)  # in the response in flight
     nonce: str = ""  # of the response in flight
     names: tuple[str, ...] | None = None  # subscribed names; None: not requested yet
 
--- a/havendyke/xds/stream.py
+++ b/havendyke/xds/stream.py
@@ -222,7 +222,10 @@
         return self._next_responses()
 
     def _next_responses(self) -> list[DeltaResponse]:
-        """Derives all responses from the difference between subscribed and acknowledged."""
+        """Derives all responses from the difference between subscribed and acknowledged resources.
+
+        Adds a `SnapshotAcknowledged` event once nothing is left to send and nothing is in flight.
+        """
         responses = []
         for resource_type in DEPENDENCY_ORDER:
             if response := self._additions(resource_type):
