--- a/tests/lab/deployment.py
+++ b/tests/lab/deployment.py
@@ -10,12 +10,15 @@
 SERVERS, PROXIES, BASELINE_RATE = 60, 4, 100.0  # requests per second that a warm server can serve
 MANY_CONTROLLERS = 30  # above it a step is twice as long
 SLICES_PER_SERVER, SLICES_PER_CONTROLLER = 6, 1.2
-SKEW, FIRST_RANK = 0.6, 10  # demand is a power of the rank
+SKEW, FIRST_RANK = 0.6, 10  # demand is proportional to (rank + FIRST_RANK) ** -SKEW
 SPARSE = Sampling(period_ms=2000.0, span_ms=6000.0, zones=3, delay_ms=300.0)
 
 
 def settings(slices, proxies=PROXIES, **changes):
-    """The channel has room for all slices at once, as in a full fleet for those of a lost zone."""
+    """Settings whose channel has room for changes of all slices at once.
+
+    In a full fleet, it has room for the slices of a lost zone.
+    """
     limit = 4.0 * proxies * (8 + 6 + 1.6 * slices)
     defaults = {
         "request_classes": [
@@ -47,7 +50,7 @@
 
 
 def deployment(count, seed=1, servers=SERVERS, load=0.59, proxies=PROXIES, group=None, **changes):
-    """Controllers and servers that started long ago.
+    """Returns a `ControllerGroup` whose controllers and servers started long ago.
 
     `group`: further arguments of `ControllerGroup`.
     """
--- a/tests/lab/test_cold_budget.py
+++ b/tests/lab/test_cold_budget.py
@@ -1,4 +1,4 @@
-"""The rule on cold servers: which load overloads one, and when the controllers had to know."""
+"""The cold start rule: which load overloads a cold server, and which failures break the rule."""
 
 import pytest
 
--- a/tests/lab/test_five_rules.py
+++ b/tests/lab/test_five_rules.py
@@ -1,4 +1,4 @@
-"""Each rule: its violation is found, and what just keeps it is none."""
+"""Each rule: a violation is reported, and behaviour just within its bound is not."""
 
 import pytest
 
@@ -56,7 +56,7 @@
         )
 
     def order(self, *orders):
-        """The orders of one reconciliation."""
+        """Applies and checks these as the orders of one reconciliation."""
         self.plane.apply_orders(list(orders))
         self.rules.observe_orders(self.plane.now, orders, self.plane)
 
--- a/tests/lab/test_several_controllers.py
+++ b/tests/lab/test_several_controllers.py
@@ -16,8 +16,10 @@
 
 
 def lose_zone(group, duration_ms, listed_after_ms, zone=0):
-    """A zone is lost and restarts; each controller's endpoint list has the starts after a delay
-    within the two bounds."""
+    """A zone is lost and restarts; returns the names of its servers.
+
+    Each controller's endpoint list has the starts after a random delay within the bounds
+    `listed_after_ms`."""
     names = [server.name for server in group.servers.values() if server.zone == zone]
     for name in names:
         group.stop(name)
@@ -43,7 +45,7 @@
 
 @pytest.mark.parametrize("count", COUNTS)
 def test_servers_that_restart_at_once_with_all_their_slices_keep_the_load_they_can_serve(count):
-    # No report tells of so short a loss, so that only the listed starts limit their load.
+    # No load report shows so short a loss: only the listed starts limit the load of the servers.
     group = deployment(count)
     lose_zone(group, 200.0, (0.0, 100.0))
     group.run_for(4000.0)
@@ -100,7 +102,9 @@
 
 
 def exclusive_deployment(count, bounds=EXCLUSIVE_BOUNDS, **changes):
-    """With fast messages, since slow ones would hide a wait that is too short."""
+    """Returns a deployment with exclusive ownership, and its handovers.
+
+    Messages are fast, since slow ones would hide a wait that is too short."""
     handovers = Handovers()
     group = deployment(
         count,
@@ -125,7 +129,8 @@
 
 @pytest.mark.parametrize("count", [1, 5, 30])
 def test_proxies_that_restart_in_turn_neither_delay_handovers_nor_let_writes_overlap(count):
-    # One just after each drain, so that its acknowledgement is due or its stream has just broken.
+    # One restarts up to 250 ms after each drain, so that its acknowledgement is due or its stream
+    # has just broken.
     group, handovers = exclusive_deployment(count)
     names = iter(group.servers)
     for k in range(8):
@@ -136,7 +141,7 @@
     assert not violations(group)
     assert handovers.durations_ms and not handovers.cleared_ms
     acknowledged = max(replica.max_acknowledgement_ms for replica in group.replicas)
-    # A proxy may disconnect just before its acknowledgement, and writes on for its lease.
+    # A proxy may disconnect just before its acknowledgement, and writes until its lease ends.
     assert (
         max(handovers.durations_ms)
         <= LEASE_MS + WRITE_IN_FLIGHT_MS + acknowledged + 2 * PUSH_INTERVAL_MS
@@ -144,7 +149,7 @@
 
 
 def test_the_next_primary_waits_for_a_proxy_that_gets_its_messages_late():
-    # It sends to the draining servers meanwhile, so that their grace is longer than usual.
+    # The late proxy sends to the draining servers meanwhile, so the drain grace is extended.
     group, handovers = exclusive_deployment(
         1, Bounds(empty_table_ms=MAX_EMPTY_TABLE_MS, drain_grace_ms=10_000.0)
     )
@@ -161,7 +166,8 @@
 
 @pytest.mark.parametrize("lost_after_ms", [100.0, 200.0, 300.0, 400.0])
 def test_a_controller_may_be_lost_during_its_handovers(lost_after_ms):
-    # The store has no entry of these slices, while its proxies use the last table for their lease.
+    # The tables of these slices in the store are empty, while the lost controller's proxies go on
+    # using the last tables until their lease ends.
     group, handovers = exclusive_deployment(3)
     drain(group, list(group.servers)[:6])
     group.run_for(lost_after_ms)
@@ -208,7 +214,7 @@
 
 
 def release(count):
-    """Some servers drain, and the endpoint list has their successors."""
+    """Drains some servers and lists successors; returns the group and the draining names."""
     group = deployment(count)
     draining = list(group.servers)[::10]
     drain(group, draining)
--- a/tests/lab/test_zone_lost.py
+++ b/tests/lab/test_zone_lost.py
@@ -11,7 +11,7 @@
 
 LOST_FOR_MS = 5000.0
 MANY_PROXIES = 18
-# Sums over 6 s that arrive late.
+# Reports that cover 6 s and arrive late.
 LATE = Sampling(period_ms=2000.0, span_ms=6000.0, zones=3, delay_ms=800.0)
 # Most reports arrive after the servers have restarted.
 RARE = Sampling(period_ms=12_000.0, span_ms=12_000.0, zones=3, delay_ms=800.0)
--- a/tests/xds/test_server.py
+++ b/tests/xds/test_server.py
@@ -94,7 +94,7 @@
             )
 
     async def read(self, seconds=2.0, rejects=lambda resource: False):
-        """Applies responses until none arrives for `seconds`, at most 1.7 after the first."""
+        """Applies responses until none arrives for `seconds`, or for 1.7 s after the first one."""
         while True:
             try:
                 response = await asyncio.wait_for(self.call.read(), seconds)
